--- a/packages/bench/src/lib/policy/hazelford-policy.ts
+++ b/packages/bench/src/lib/policy/hazelford-policy.ts
@@ -2,7 +2,7 @@
  * hazelford's own decisions in an experiment: the same `chooseUpstream` and
  * `UpstreamPlan` that the daemons run.
  */
-import { chooseUpstream, LoadPacer, type PlanEffect, type PlanMessage, RetryBudget, UpstreamPlan, UpstreamView } from '@hazelford/decisions'
+import { chooseUpstream, LoadThrottle, type PlanEffect, type PlanMessage, RetryBudget, UpstreamPlan, UpstreamView } from '@hazelford/decisions'
 import type { Arrival } from './deployment.js'
 import type { CreatePolicy, PolicyWorld } from './policy.js'
 import { SimBatch } from './sim-batch.js'
@@ -21,7 +21,7 @@
   private _free: number
   private _waiting: { readonly engine: number, rank: number, readonly take: () => void }[] = []
   private readonly _shareTaken = new Set<number>()
-  private readonly _pacers = new Map<number, LoadPacer>()
+  private readonly _pacers = new Map<number, LoadThrottle>()
 
   constructor (private readonly _world: PolicyWorld) { this._free = _world.deployment.fullSpeed }
 
@@ -52,8 +52,8 @@
     this._grant()
   }
 
-  private _pacer (engine: number, share: number): LoadPacer {
-    const known = this._pacers.get(engine) ?? new LoadPacer(share)
+  private _pacer (engine: number, share: number): LoadThrottle {
+    const known = this._pacers.get(engine) ?? new LoadThrottle(share)
     this._pacers.set(engine, known)
     return known
   }
--- a/packages/cli/src/lib/config-store.ts
+++ b/packages/cli/src/lib/config-store.ts
@@ -3,7 +3,7 @@
  */
 import type { ConfigDocument, Ms } from '@hazelford/core'
 import { configKey, historyPrefix, nextDocument, readDocument } from '@hazelford/config'
-import { type KvClient, settledWrite } from '@hazelford/consul'
+import { type KvClient, casWithReadBack } from '@hazelford/consul'
 import { err, ok, type Result } from 'neverthrow'
 
 /** The stored configuration; `index` is what a change must name. */
@@ -72,7 +72,7 @@
     if (base.doc !== undefined) await this._keep(base.doc)
     const doc = nextDocument(base.doc?.revision ?? 0, text, author, at)
     const stored: StoredJson = { ...doc, previousWriteId: base.doc?.writeId ?? '' }
-    const outcome = await settledWrite(this._kv, configKey, base.index, JSON.stringify(stored), value => readDocument(value)?.writeId === doc.writeId)
+    const outcome = await casWithReadBack(this._kv, configKey, base.index, JSON.stringify(stored), value => readDocument(value)?.writeId === doc.writeId)
     switch (outcome.kind) {
       case 'stored':
         return { kind: 'accepted', doc }
--- a/packages/consul/src/index.ts
+++ b/packages/consul/src/index.ts
@@ -6,4 +6,4 @@
 export * from './lib/host-list.js'
 export * from './lib/kv-breaker.js'
 export * from './lib/kv-client.js'
-export * from './lib/settled-write.js'
+export * from './lib/cas-with-read-back.js'
--- a/packages/consul/src/lib/settled-write.ts
+++ b/packages/consul/src/lib/cas-with-read-back.ts
@@ -11,7 +11,7 @@
  * - `not-applied`: our value did not and will not take effect.
  * - `unknown`: neither the reply nor a read back came.
  */
-export type WriteOutcome =
+export type CasWriteOutcome =
   | { readonly kind: 'stored' }
   /** `certain` is false when our reply was lost: our value may have stood before the one seen now. */
   | { readonly kind: 'conflict', readonly current: KvRead, readonly certain: boolean }
@@ -27,7 +27,7 @@
  * @param value - new value; it must differ from every value anybody else writes
  * @param isOwn - recognises our value in a read
  */
-export async function settledWrite (kv: KvClient, key: string, index: number, value: string, isOwn: (value: string) => boolean): Promise<WriteOutcome> {
+export async function casWithReadBack (kv: KvClient, key: string, index: number, value: string, isOwn: (value: string) => boolean): Promise<CasWriteOutcome> {
   const written = await kv.cas(key, index, value)
   if (written.isOk() && written.value === 'stored') return { kind: 'stored' }
   if (written.isErr() && written.error.kind === 'not-applied') return { kind: 'not-applied', message: written.error.message }
--- a/packages/core/src/lib/instant.ts
+++ b/packages/core/src/lib/instant.ts
@@ -26,7 +26,7 @@
  */
 export function elapsed (from: Instant, to: Instant): Ms {
   // A suspension too short to be told from the clocks' own differences still counts by the time of day.
-  return sameCourse(from, to) ? Math.max(to.now - from.now, to.wall - from.wall) : Infinity
+  return clocksAgree(from, to) ? Math.max(to.now - from.now, to.wall - from.wall) : Infinity
 }
 
 /**
@@ -35,6 +35,6 @@
  * A process that was suspended thinks that no time has passed. A step of the time of day looks the same, and then only
  * asking anew can tell.
  */
-export function sameCourse (a: Instant, b: Instant): boolean {
+export function clocksAgree (a: Instant, b: Instant): boolean {
   return Math.abs((a.wall - a.now) - (b.wall - b.now)) < pauseSign
 }
--- a/packages/core/src/lib/key-digest.ts
+++ b/packages/core/src/lib/key-digest.ts
@@ -24,4 +24,4 @@
 }
 
 /** What logs show of a key. */
-export function shownKey (digest: KeyDigest): string { return digest.slice(0, shownHexDigits) }
+export function abbreviateKeyDigest (digest: KeyDigest): string { return digest.slice(0, shownHexDigits) }
--- a/packages/decisions/src/lib/adapter-demand.ts
+++ b/packages/decisions/src/lib/adapter-demand.ts
@@ -5,14 +5,14 @@
 import { DecayedCounter } from './decayed-counter.js'
 
 /** A model, or an adapter of it, in a version if one is declared. */
-export interface AdapterWant {
+export interface RequestedAdapter {
   readonly model: string
   readonly adapter?: string
   readonly version?: number
 }
 
 /** How long and how urgently something is wanted. */
-export interface WantTerms {
+export interface DemandTerms {
   /** 0 is the most urgent. */
   readonly urgency: number
   /** When nobody will wait for it any more. */
@@ -22,7 +22,7 @@
 }
 
 /** Something that is waited for. */
-export interface Waiting extends WantTerms { readonly want: AdapterWant, readonly since: Ms }
+export interface PendingAdapter extends DemandTerms { readonly want: RequestedAdapter, readonly since: Ms }
 
 /** One step of priority outweighs this many times the requests. */
 const urgencyFactor = 3
@@ -38,11 +38,11 @@
 const popularityCapacity = 5_000
 
 /** Names a model, or an adapter of it. */
-export function wantKey ({ model, adapter }: AdapterWant): string { return `${model}/${adapter ?? ''}` }
+export function requestedAdapterKey ({ model, adapter }: RequestedAdapter): string { return `${model}/${adapter ?? ''}` }
 
 /** Counts what is asked for and keeps what waits. */
 export class AdapterDemand {
-  private readonly _waiting = new Map<string, Waiting>()
+  private readonly _waiting = new Map<string, PendingAdapter>()
   private readonly _popularity = new DecayedCounter(popularityHalfLife, popularityCapacity)
 
   get size (): number { return this._waiting.size }
@@ -59,8 +59,8 @@
 
   served (key: string): void { this._waiting.delete(key) }
 
-  enqueue (want: AdapterWant, { urgency, until, dueAt }: WantTerms, now: Ms): void {
-    const key = wantKey(want)
+  enqueue (want: RequestedAdapter, { urgency, until, dueAt }: DemandTerms, now: Ms): void {
+    const key = requestedAdapterKey(want)
     const earlier = this._waiting.get(key)
     this._waiting.set(key, {
       want,
@@ -81,15 +81,15 @@
    * counted more the more urgent they are and the sooner it is of use. Each entry asks again
    * while it waits, so that what waits long gains weight too.
    */
-  inOrder (now: Ms): readonly Waiting[] {
+  inOrder (now: Ms): readonly PendingAdapter[] {
     return [...this._waiting.values()]
       .map(waiting => ({ waiting, weight: this._weight(waiting, now) }))
       .sort((a, b) => b.weight - a.weight || a.waiting.since - b.waiting.since)
       .map(({ waiting }) => waiting)
   }
 
-  private _weight ({ want, urgency, dueAt }: Waiting, now: Ms): number {
+  private _weight ({ want, urgency, dueAt }: PendingAdapter, now: Ms): number {
     const worth = now + leadTime <= dueAt ? 1 : lateWorth
-    return this.popularity(wantKey(want), now) * urgencyFactor ** -urgency * worth
+    return this.popularity(requestedAdapterKey(want), now) * urgencyFactor ** -urgency * worth
   }
 }
--- a/packages/decisions/src/lib/adapter-plan.ts
+++ b/packages/decisions/src/lib/adapter-plan.ts
@@ -2,8 +2,8 @@
  * Plans what one engine is ordered to load and unload, by the entry that orders it.
  */
 import { assertNever, type Ms } from '@hazelford/core'
-import type { EngineReport, EngineSpec, HeldModel, LoadTarget, OrderOutcome } from '@hazelford/ports'
-import { AdapterDemand, type AdapterWant, wantKey, type WantTerms } from './adapter-demand.js'
+import type { EngineReport, EngineSpec, EngineModel, LoadTarget, EngineOrderOutcome } from '@hazelford/ports'
+import { AdapterDemand, type RequestedAdapter, requestedAdapterKey, type DemandTerms } from './adapter-demand.js'
 import { AdapterUses } from './adapter-uses.js'
 import { LoadTimes } from './load-times.js'
 
@@ -30,7 +30,7 @@
  * the entry's word on what it uses keeps the adapter; each second more would keep a third of
  * the slots from adapters that somebody waits for.
  */
-export const readyPromise: Ms = 300
+export const readyReservation: Ms = 300
 /** Adapters that may be in transit to one engine; it fails beyond. */
 const maxInTransit = 4
 /** A report lags by some hundred ms; a later one shows the effect of an order. */
@@ -65,7 +65,7 @@
 }
 
 /** How an adapter is asked for. */
-export interface AskTerms extends WantTerms {
+export interface LoadRequestTerms extends DemandTerms {
   /** The engine has just refused a request for lack of it. */
   readonly missing: boolean
   /** Whether to stand in line when every slot is in use. */
@@ -104,7 +104,7 @@
   /** Orders that the engine has counted, which the next one names as what it is based on. */
   get orders (): number { return this._orders }
 
-  holdsModel (model: string): boolean { return this._models.get(model) === 'loaded' }
+  hasModelLoaded (model: string): boolean { return this._models.get(model) === 'loaded' }
 
   /**
    * Takes what the engine says it holds.
@@ -112,7 +112,7 @@
    * @param report - asked for at `askedAt`
    * @param askedAt - time
    */
-  takeReport (report: EngineReport, askedAt: Ms): void {
+  applyReport (report: EngineReport, askedAt: Ms): void {
     this._unanswered = undefined
     this._orders = report.orders
     const held = this._slots
@@ -133,7 +133,7 @@
     if (report.busy) this._askAgain(askedAt + reportLag)
   }
 
-  private _takeModel ({ model, adapters }: HeldModel, held: ReadonlyMap<string, Slot>, askedAt: Ms): void {
+  private _takeModel ({ model, adapters }: EngineModel, held: ReadonlyMap<string, Slot>, askedAt: Ms): void {
     for (const { adapter, version } of adapters) {
       const key = slotKey(model, adapter)
       const before = held.get(key)
@@ -159,7 +159,7 @@
    * @param keys - `model/adapter`
    * @param now - time
    */
-  noteUse (entry: string, keys: Iterable<string>, now: Ms): void {
+  recordUse (entry: string, keys: Iterable<string>, now: Ms): void {
     this._uses.note(entry, keys, now)
   }
 
@@ -167,14 +167,14 @@
   addUse (entry: string, model: string, adapter: string, now: Ms): void {
     this._uses.add(entry, slotKey(model, adapter), now)
     const slot = this._slots.get(slotKey(model, adapter))
-    if (slot !== undefined) slot.promisedUntil = Math.max(slot.promisedUntil, now + readyPromise)
+    if (slot !== undefined) slot.promisedUntil = Math.max(slot.promisedUntil, now + readyReservation)
   }
 
   /**
    * Keeps an adapter for a request that waits for a place. Unloaded meanwhile, it would have to be loaded anew for a request
    * that was told it is there.
    */
-  keep (model: string, adapter: string, until: Ms): void {
+  extendReservation (model: string, adapter: string, until: Ms): void {
     const slot = this._slots.get(slotKey(model, adapter))
     if (slot !== undefined) slot.promisedUntil = Math.max(slot.promisedUntil, until)
   }
@@ -186,12 +186,12 @@
    * @param terms - how urgent, for how long
    * @param now - time
    */
-  ask (want: AdapterWant, terms: AskTerms, now: Ms): Readiness {
-    const key = wantKey(want)
+  requestAdapter (want: RequestedAdapter, terms: LoadRequestTerms, now: Ms): Readiness {
+    const key = requestedAdapterKey(want)
     if (!terms.repeated) this._demand.count(key, now)
     const slot = this._slots.get(key)
     if (terms.missing && slot !== undefined) this._distrust(slot, now)
-    const ready = this.promise(want, now)
+    const ready = this.reserve(want, now)
     if (ready !== undefined) return ready
     if (!terms.mayWait && this._occupied(key, slot, now)) return { kind: 'occupied' }
     this._demand.enqueue(want, terms, now)
@@ -217,23 +217,23 @@
    *
    * @returns undefined when it can't be
    */
-  promise (want: AdapterWant, now: Ms): Readiness & { readonly kind: 'ready' } | undefined {
-    const key = wantKey(want)
+  reserve (want: RequestedAdapter, now: Ms): Readiness & { readonly kind: 'ready' } | undefined {
+    const key = requestedAdapterKey(want)
     if (want.adapter === undefined) {
-      if (!this.holdsModel(want.model)) return undefined
+      if (!this.hasModelLoaded(want.model)) return undefined
       this._demand.served(key)
-      return { kind: 'ready', until: now + readyPromise, version: undefined }
+      return { kind: 'ready', until: now + readyReservation, version: undefined }
     }
     const slot = this._slots.get(key)
     if (slot === undefined || !this._usable(slot, want)) return undefined
-    slot.promisedUntil = Math.max(slot.promisedUntil, now + readyPromise)
+    slot.promisedUntil = Math.max(slot.promisedUntil, now + readyReservation)
     this._demand.served(key)
     return { kind: 'ready', until: slot.promisedUntil, version: slot.version }
   }
 
-  holdsAdapter (model: string, adapter: string): boolean { return this._slots.has(slotKey(model, adapter)) }
+  hasAdapterSlot (model: string, adapter: string): boolean { return this._slots.has(slotKey(model, adapter)) }
 
-  private _usable (slot: Slot, want: AdapterWant): boolean {
+  private _usable (slot: Slot, want: RequestedAdapter): boolean {
     if (want.version !== undefined && (slot.version ?? 0) < want.version) return false
     return slot.state === 'loaded'
   }
@@ -247,7 +247,7 @@
   }
 
   /** When the next load should be over; undefined when none is under way. */
-  nextReady (now: Ms): Ms | undefined {
+  nextLoadDueAt (now: Ms): Ms | undefined {
     let next: Ms | undefined
     for (const slot of this._slots.values()) {
       if (slot.state === 'in-transit' && slot.readyAt > now) next = Math.min(next ?? Infinity, slot.readyAt)
@@ -260,7 +260,7 @@
    *
    * @param now - time
    */
-  next (now: Ms): PlanAction {
+  nextAction (now: Ms): PlanAction {
     this._demand.dropExpired(now)
     if (this._mustReport) return now >= this._reportAt ? { kind: 'report' } : { kind: 'idle', until: this._reportAt }
     if (this._unanswered !== undefined) return this._unanswered
@@ -274,7 +274,7 @@
     }
     // A waiting adapter may need a slot whose promise runs out.
     const retry = this._demand.size > 0 ? now + slotRetry : Infinity
-    return { kind: 'idle', until: Math.min(retry, this.nextReady(now) ?? Infinity) }
+    return { kind: 'idle', until: Math.min(retry, this.nextLoadDueAt(now) ?? Infinity) }
   }
 
   /**
@@ -301,9 +301,9 @@
     return (asked ?? (this._models.size === 0 ? absent[0] : undefined))?.name
   }
 
-  private _actionFor (want: AdapterWant, now: Ms): PlanAction | undefined {
+  private _actionFor (want: RequestedAdapter, now: Ms): PlanAction | undefined {
     const { model, adapter } = want
-    if (adapter === undefined || !this.holdsModel(model)) return undefined
+    if (adapter === undefined || !this.hasModelLoaded(model)) return undefined
     const slot = this._slots.get(slotKey(model, adapter))
     if (slot !== undefined && (slot.state !== 'loaded' || this._usable(slot, want))) return undefined
     if (this._inTransit() >= maxInTransit || !this._storeHasRoom(want)) return undefined
@@ -325,7 +325,7 @@
    * The store shares its rate between all loads of all engines. Beyond what it can feed,
    * more loads at once bring no adapter sooner and each one later.
    */
-  private _storeHasRoom ({ model, adapter }: AdapterWant): boolean {
+  private _storeHasRoom ({ model, adapter }: RequestedAdapter): boolean {
     if (this._times.isRecent(slotKey(model, adapter ?? ''))) return true
     const fresh = [...this._slots].filter(([key, slot]) => slot.state === 'in-transit' && !this._times.isRecent(key)).length
     return fresh < Math.max(1, Math.floor(maxInTransit / Math.max(1, this._times.slowdown) ** 2))
@@ -370,7 +370,7 @@
    * @param outcome - undefined when no answer came
    * @param now - time
    */
-  ordered (action: PlanAction & { readonly kind: 'load' | 'unload' }, outcome: OrderOutcome | undefined, now: Ms): void {
+  recordOrderOutcome (action: PlanAction & { readonly kind: 'load' | 'unload' }, outcome: EngineOrderOutcome | undefined, now: Ms): void {
     this._unanswered = undefined
     switch (outcome) {
       case 'accepted':
--- a/packages/decisions/src/lib/engine-places.ts
+++ b/packages/decisions/src/lib/batch-slots.ts
@@ -18,7 +18,7 @@
  * many seconds and knows nothing of its batch. Sent by guess, requests stood inside full engines while places were
  * free on others. The holder is asked for each request anyhow.
  */
-export class EnginePlaces {
+export class BatchSlots {
   private readonly _words = new Map<string, Word>()
 
   /** @param _slots - requests that the engine runs at once */
--- a/packages/decisions/src/lib/choose-upstream.ts
+++ b/packages/decisions/src/lib/choose-upstream.ts
@@ -17,7 +17,7 @@
 export interface RouteQuery {
   readonly adapter?: AdapterKey
   /** Given for a keyed call: repeats prefer the same upstream. */
-  readonly homeKey?: string
+  readonly affinityKey?: string
   /** The entry's own zone. */
   readonly zone: string
   /** Upstreams that refused this request already. */
@@ -127,8 +127,8 @@
 export function chooseUpstream (query: RouteQuery, views: readonly UpstreamView[], weights: RouteWeights, now: Ms, random: () => number): UpstreamView | undefined {
   const candidates = candidatesOf(query, views, now)
   if (candidates.length === 0) return undefined
-  if (query.homeKey !== undefined) {
-    const home = rendezvousOrder(query.homeKey, candidates.map(view => view.name))[0]
+  if (query.affinityKey !== undefined) {
+    const home = rendezvousOrder(query.affinityKey, candidates.map(view => view.name))[0]
     return candidates.find(view => view.name === home)
   }
   if (query.adapter === undefined) return lighterOfTwo(candidates, query, weights, now, random)
--- a/packages/decisions/src/lib/share-engines.ts
+++ b/packages/decisions/src/lib/engine-assignment.ts
@@ -5,7 +5,7 @@
 import { rendezvousOrder } from './rendezvous.js'
 
 /** Who orders what, as one entry sees it. */
-export interface EngineShares {
+export interface EngineAssignment {
   /** Entries that live. */
   readonly entries: readonly string[]
   /** Holder of each engine that has one. */
@@ -15,7 +15,7 @@
 /** An engine to be given to another entry. */
 export interface Handover { readonly engine: string, readonly to: string }
 
-function heldCounts ({ entries, holders }: EngineShares): Map<string, number> {
+function heldCounts ({ entries, holders }: EngineAssignment): Map<string, number> {
   const counts = new Map(entries.map(entry => [entry, 0]))
   for (const holder of holders.values()) {
     const count = counts.get(holder)
@@ -35,7 +35,7 @@
  * @param shares - entries and holders
  * @returns for each engine the entries, the first to claim it first; alike on all entries with the same view
  */
-export function claimOrders (free: readonly string[], shares: EngineShares): ReadonlyMap<string, readonly string[]> {
+export function claimSequences (free: readonly string[], shares: EngineAssignment): ReadonlyMap<string, readonly string[]> {
   const counts = heldCounts(shares)
   const orders = new Map<string, readonly string[]>()
   for (const engine of [...free].sort()) {
@@ -61,7 +61,7 @@
  * @param mayGo - whether an engine may change hands now
  * @returns undefined when the engines are even, or somebody else has to give
  */
-export function pickHandover (self: string, shares: EngineShares, mayGo: (engine: string) => boolean): Handover | undefined {
+export function pickHandover (self: string, shares: EngineAssignment, mayGo: (engine: string) => boolean): Handover | undefined {
   const ranked = [...heldCounts(shares)].sort(([a, most], [b, least]) => least - most || (a < b ? -1 : 1))
   const [giver, most] = ranked[0] ?? ['', 0]
   const least = ranked.at(-1)?.[1] ?? 0
@@ -84,7 +84,7 @@
  * A restart forgets this, and needs no more: an entry that is told to stop orders nothing from then on and still serves for
  * longer than most of a turn, and one that is killed finds its own keys.
  */
-export class FormerHolds {
+export class ReclaimCooldown {
   private readonly _leftAt = new Map<string, Ms>()
 
   /** @param _turn - ms within which two holders must not take turns */
@@ -94,7 +94,7 @@
   left (engine: string, now: Ms): void { this._leftAt.set(engine, now) }
 
   /** Whether an engine that another may have ordered since can be claimed. */
-  mayReturn (engine: string, now: Ms): boolean {
+  mayReclaim (engine: string, now: Ms): boolean {
     const leftAt = this._leftAt.get(engine)
     if (leftAt === undefined) return true
     if (now - leftAt < this._turn + turnMargin) return false
--- a/packages/decisions/src/lib/load-pacer.ts
+++ b/packages/decisions/src/lib/load-throttle.ts
@@ -20,7 +20,7 @@
  * A fixed share of the store's rate is safe, but most sidecars need less than theirs
  * at any moment and some need more. The time of a load shows how many run at once.
  */
-export class LoadPacer {
+export class LoadThrottle {
   private _interval: Ms
   private _best: Ms = Infinity
   private _lastStart: Ms = -Infinity
--- a/packages/decisions/src/lib/smoothed.ts
+++ b/packages/decisions/src/lib/moving-average.ts
@@ -1,7 +1,7 @@
 /**
  * Exponentially weighted moving average.
  */
-export class Smoothed {
+export class MovingAverage {
   private _value: number
   private _seen = false
 
--- a/packages/decisions/src/lib/place-request.ts
+++ b/packages/decisions/src/lib/place-request.ts
@@ -36,7 +36,7 @@
   /** Upstreams that the adapter's requests are spread over. */
   readonly replicas: number
   /** Ms that a request of the service stays at its upstream; 0 when unknown. */
-  readonly stay: Ms
+  readonly serviceTime: Ms
 }
 
 /** A message to another zone and back, and the price of its bytes. */
@@ -82,7 +82,7 @@
 }
 
 /** Wait for a place behind those who wait already: with streams of 2.5 s and 12 places, one is free each 208 ms. */
-function placeWait ({ running, slots }: PlacementCandidate, { stay }: PlacementContext): Ms {
+function placeWait ({ running, slots }: PlacementCandidate, { serviceTime: stay }: PlacementContext): Ms {
   return Math.max(0, running + 1 - slots) * Math.max(queueCost, stay / slots)
 }
 
--- a/packages/decisions/src/lib/plan-messages.ts
+++ b/packages/decisions/src/lib/plan-messages.ts
@@ -2,7 +2,7 @@
  * Messages and effects of the decisions for one upstream.
  */
 import type { AdapterKey, FailureCode, Ms } from '@hazelford/core'
-import type { PlanRequest } from './waiting-line.js'
+import type { PlanRequest } from './wait-queue.js'
 
 /** Limits of an upstream, from the configuration. */
 export interface PlanLimits {
--- a/packages/decisions/src/lib/prompt-pacer.ts
+++ b/packages/decisions/src/lib/prompt-throttle.ts
@@ -5,7 +5,7 @@
 import { promptTokensPerMs } from './place-request.js'
 
 /** A request that waits to be let in. */
-export interface PromptTicket {
+export interface QueuedPrompt {
   readonly id: string
   readonly tokens: number
   /** 0 is the most urgent. */
@@ -50,7 +50,7 @@
 /** Time an engine takes from the last prompt token to the first event. */
 const firstEventTime: Ms = 60
 
-interface Waiting extends PromptTicket { askedAt: Ms }
+interface Waiting extends QueuedPrompt { askedAt: Ms }
 
 /**
  * Paces prompts.
@@ -65,7 +65,7 @@
  * first, and those that will be late anyway go last: otherwise each is served in its turn and
  * all are late.
  */
-export class PromptPacer {
+export class PromptThrottle {
   private readonly _waiting = new Map<string, Waiting>()
   /** What was learned of the engine, as part of the first guess. */
   private _speed = 1
@@ -92,7 +92,7 @@
   private _unreadAt (now: Ms): number { return Math.max(0, this._unread - (now - this._at) * this._rate) }
 
   /** Puts a request into the line; its place is by its due time, however often it comes. */
-  offer (ticket: PromptTicket, now: Ms): void {
+  enqueue (ticket: QueuedPrompt, now: Ms): void {
     const earlier = this._waiting.get(ticket.id)
     if (earlier === undefined) this._waiting.set(ticket.id, { ...ticket, askedAt: now })
     else earlier.askedAt = now
@@ -127,7 +127,7 @@
   }
 
   /** When the next request can be let in; undefined when none waits. */
-  nextAt (now: Ms): Ms | undefined {
+  nextAdmissionAt (now: Ms): Ms | undefined {
     const [next] = this._inOrder(now)
     return next === undefined ? undefined : now + Math.max(0, this._unreadAt(now) - unreadBefore(next.tokens)) / this._rate
   }
@@ -184,7 +184,7 @@
    * @param streams - how many
    * @param paused - how many of them paused longer than is on time
    */
-  learn (streams: number, paused: number): void {
+  adjustSpeed (streams: number, paused: number): void {
     const change = (1 - slowDown) ** paused * (1 + speedUp) ** (streams - paused)
     const limit = this._pressed ? fastest : Math.max(1, this._speed)
     this._speed = Math.min(limit, Math.max(slowest, this._speed * change))
--- a/packages/decisions/src/lib/relay-flow.ts
+++ b/packages/decisions/src/lib/relay-flow.ts
@@ -49,7 +49,7 @@
 /** What the entry must do. */
 export type RelayEffect =
   /** Find an upstream outside `avoid`, or the one named by `again`. */
-  | { readonly kind: 'place', readonly avoid: ReadonlySet<string>, readonly again?: string }
+  | { readonly kind: 'place', readonly avoid: ReadonlySet<string>, readonly retryUpstream?: string }
   | { readonly kind: 'send', readonly upstream: string }
   /** Close the connection to the upstream, so that it stops work. */
   | { readonly kind: 'abandon' }
@@ -80,7 +80,7 @@
   /** Whether the request's caller may still send it. */
   readonly isAllowed: () => boolean
   /** Whether the request is held back, since upstreams end under it. */
-  readonly isHeld: () => boolean
+  readonly isQuarantined: () => boolean
 }
 
 /** Connections that may fail before a request is refused; nothing was sent on them. */
@@ -258,7 +258,7 @@
     case 'moves-again':
       progress.stalled = false
       return goOn([])
-    case 'waited': return goOn([{ kind: 'place', avoid: progress.avoid, ...(progress.again === undefined ? {} : { again: progress.again }) }])
+    case 'waited': return goOn([{ kind: 'place', avoid: progress.avoid, ...(progress.again === undefined ? {} : { retryUpstream: progress.again }) }])
     case 'timeout':
     case 'caller-gone': return interrupted(msg.kind, request, progress)
     case 'held': return held(request, progress)
@@ -300,7 +300,7 @@
  */
 export function * relayFlow (request: RelayRequest, deps: RelayDeps): Generator<Effects, void, RelayMessage> {
   const progress = new Progress()
-  if (deps.isHeld()) {
+  if (deps.isQuarantined()) {
     yield giveUp(progress, 'quarantined')
     return
   }
--- a/packages/decisions/src/lib/request-flow.ts
+++ b/packages/decisions/src/lib/request-flow.ts
@@ -57,7 +57,7 @@
   /** Takes a retry from the service's budget. */
   readonly takeRetry: () => boolean
   /** Why the request is held back, since upstreams end under it; undefined when it is not. */
-  readonly heldBack: () => Failure | undefined
+  readonly quarantineFailure: () => Failure | undefined
   /** Ms until the deadline. */
   readonly remaining: () => Ms
   readonly random: () => number
@@ -220,7 +220,7 @@
   let worst: Verdict = 'not-run'
 
   for (let attempts = 1, pauses = 0; ; attempts++) {
-    const heldBack = deps.heldBack()
+    const heldBack = deps.quarantineFailure()
     if (heldBack !== undefined) {
       yield finalFailure(answer, soften(heldBack, worst))
       return
--- a/packages/decisions/src/lib/request-ledger.ts
+++ b/packages/decisions/src/lib/request-ledger.ts
@@ -26,7 +26,7 @@
    *
    * @param seq - the entry's number, which grows from frame to frame
    */
-  take (seq: number): LedgerVerdict {
+  register (seq: number): LedgerVerdict {
     if (this._tombstones.delete(seq)) {
       this._highest = Math.max(this._highest, seq)
       return 'withdrawn'
@@ -42,7 +42,7 @@
    * @param seq - the request's number
    * @returns whether the frame has not come yet, so that it is certain not to run
    */
-  bury (seq: number): boolean {
+  recordWithdrawal (seq: number): boolean {
     if (seq <= this._highest) return false
     this._tombstones.add(seq)
     if (this._tombstones.size > tombstoneLimit) this._forgetOldest()
--- a/packages/decisions/src/lib/request-quarantine.ts
+++ b/packages/decisions/src/lib/request-quarantine.ts
@@ -12,7 +12,7 @@
 }
 
 /** The end of an upstream while it had a request. */
-export interface UpstreamEnd {
+export interface UpstreamTermination {
   readonly upstream: string
   readonly at: Ms
 }
@@ -42,7 +42,7 @@
  *
  * @param answeredFor - ms from the first to the last data that came of it there; 0 when none did
  */
-export function isSuspect (answeredFor: Ms): boolean { return answeredFor <= suspectFor }
+export function mayHaveCausedTermination (answeredFor: Ms): boolean { return answeredFor <= suspectFor }
 
 /** Forgets the oldest entries of a map beyond a bound. */
 function bound (map: Map<string, unknown>, most: number): void {
@@ -63,7 +63,7 @@
  * Requests are named by what they ask, since each attempt has an id of its own.
  */
 export class RequestQuarantine {
-  private readonly _ends = new Map<string, readonly UpstreamEnd[]>()
+  private readonly _ends = new Map<string, readonly UpstreamTermination[]>()
   /** Requests held back, and until when; kept for one more hold time, in which they are on probation. */
   private readonly _heldUntil = new Map<string, Ms>()
   /** Requests answered whole, and when. */
@@ -85,8 +85,8 @@
    *
    * @returns whether so many upstreams have ended under the request that it should be held back, and is not yet
    */
-  noteEnd (request: string, end: UpstreamEnd, now: Ms): boolean {
-    if (this._isHeld(request, now) || this.answeredLately(request, now)) return false
+  recordTermination (request: string, end: UpstreamTermination, now: Ms): boolean {
+    if (this._isHeld(request, now) || this.wasAnsweredRecently(request, now)) return false
     const heldUntil = this._probationSince(request, now)
     // Word of what led to the hold may still come after it.
     if (end.at < heldUntil) return false
@@ -100,13 +100,13 @@
   }
 
   /** Upstreams that ended under a request. */
-  endsOf (request: string): readonly string[] { return (this._ends.get(request) ?? []).map(({ upstream }) => upstream) }
+  terminatedUpstreams (request: string): readonly string[] { return (this._ends.get(request) ?? []).map(({ upstream }) => upstream) }
 
   /** Whether a request was answered whole within the hold time. */
-  answeredLately (request: string, now: Ms): boolean { return this._isWithin(this._answered.get(request), now) }
+  wasAnsweredRecently (request: string, now: Ms): boolean { return this._isWithin(this._answered.get(request), now) }
 
   /** Notes that a request was answered whole. */
-  noteAnswered (request: string, now: Ms): void {
+  recordAnswered (request: string, now: Ms): void {
     this._ends.delete(request)
     this._heldUntil.delete(request)
     this._answered.delete(request)
@@ -120,7 +120,7 @@
    * @returns whether it is held and was not before
    */
   hold (request: string, now: Ms): boolean {
-    if (this._isHeld(request, now) || this.answeredLately(request, now)) return false
+    if (this._isHeld(request, now) || this.wasAnsweredRecently(request, now)) return false
     this._heldUntil.delete(request)
     this._heldUntil.set(request, now + this._limits.holdTime)
     bound(this._heldUntil, heldKept)
--- a/packages/decisions/src/lib/store-duty.ts
+++ b/packages/decisions/src/lib/store-role.ts
@@ -11,11 +11,11 @@
 }
 
 /** How an entry hears of changes in the store. */
-export type StoreDuty =
+export type StoreRole =
   /** `served`: whether others hear of them from this one. */
-  | { readonly kind: 'watch', readonly watchers: number, readonly served: boolean }
+  | { readonly kind: 'watch', readonly watchers: number, readonly hasFollowers: boolean }
   /** `from`: watchers, the one to ask first at the front. */
-  | { readonly kind: 'follow', readonly from: readonly string[] }
+  | { readonly kind: 'follow', readonly watchersToAsk: readonly string[] }
 
 /**
  * Entries up to which each watches by itself. What watching costs grows with their number; for a few it is little,
@@ -47,13 +47,13 @@
  * @param self - the entry
  * @param entries - all of them
  */
-export function storeDuty (self: string, entries: readonly ListedEntry[]): StoreDuty {
+export function storeRole (self: string, entries: readonly ListedEntry[]): StoreRole {
   const own = entries.find(({ node }) => node === self)
-  if (own === undefined || entries.length <= allWatchUpTo) return { kind: 'watch', watchers: Math.max(1, entries.length), served: false }
+  if (own === undefined || entries.length <= allWatchUpTo) return { kind: 'watch', watchers: Math.max(1, entries.length), hasFollowers: false }
   const near: string[] = []
   const far: string[] = []
   for (const [zone, nodes] of byZone(entries)) (zone === (own.zone ?? '') ? near : far).push(...watchersOf(nodes))
-  if (near.includes(self)) return { kind: 'watch', watchers: near.length + far.length, served: true }
+  if (near.includes(self)) return { kind: 'watch', watchers: near.length + far.length, hasFollowers: true }
   // Followers of one zone spread over its watchers; one of another zone is the last resort.
-  return { kind: 'follow', from: [...rendezvousOrder(self, near), ...rendezvousOrder(self, far)] }
+  return { kind: 'follow', watchersToAsk: [...rendezvousOrder(self, near), ...rendezvousOrder(self, far)] }
 }
--- a/packages/decisions/src/lib/upstream-health.ts
+++ b/packages/decisions/src/lib/upstream-health.ts
@@ -2,7 +2,7 @@
  * What an entry makes of the answers of one upstream.
  */
 import type { Ms } from '@hazelford/core'
-import { Smoothed } from './smoothed.js'
+import { MovingAverage } from './moving-average.js'
 
 /**
  * How one exchange went.
@@ -31,8 +31,8 @@
 
 /** Ejects an upstream that fails, and lets it back step by step. */
 export class UpstreamHealth {
-  private readonly _failureShare = new Smoothed(0, shareWeight)
-  private readonly _latency = new Smoothed(0, 0.1)
+  private readonly _failureShare = new MovingAverage(0, shareWeight)
+  private readonly _latency = new MovingAverage(0, 0.1)
   private _samples = 0
   private _inRow = 0
   private _ejections = 0
--- a/packages/decisions/src/lib/upstream-notices.ts
+++ b/packages/decisions/src/lib/upstream-notices.ts
@@ -5,7 +5,7 @@
 import type { UpstreamNotice } from '@hazelford/ports'
 
 /** A word on an upstream's request limit. */
-export interface LimitWord {
+export interface LimitNotice {
   /** Requests a second from all entries together; undefined for none. */
   readonly rate: number | undefined
   /** Since when it is known to hold. */
@@ -22,18 +22,18 @@
 
 /** Notices of one incarnation of an upstream. */
 export class UpstreamNotices {
-  private _limit: LimitWord = { rate: undefined, at: -Infinity, everNamed: false }
+  private _limit: LimitNotice = { rate: undefined, at: -Infinity, everNamed: false }
   private _leaving = false
   private _restsUntil: Ms = -Infinity
 
   /** The latest word on its limit. */
-  get limit (): LimitWord { return this._limit }
+  get limit (): LimitNotice { return this._limit }
 
   /** Whether it has said that it leaves; nothing takes that back. */
   get leaving (): boolean { return this._leaving }
 
   /** Until when it wants nothing from this entry. */
-  get restsUntil (): Ms { return this._restsUntil }
+  get backoffUntil (): Ms { return this._restsUntil }
 
   /**
    * Takes the notice of an answer.
@@ -43,12 +43,12 @@
    * @param now - time
    * @returns what it changes
    */
-  note ({ rateLimit, leaving, rest }: UpstreamNotice, sentAt: Ms, now: Ms): readonly NoticeChange[] {
+  note ({ rateLimit, leaving, backoff: rest }: UpstreamNotice, sentAt: Ms, now: Ms): readonly NoticeChange[] {
     const changes: NoticeChange[] = []
     // An answer without a limit may have been on its way since before the limit was named.
-    const limit = this.noteLimit({ rate: rateLimit, at: rateLimit === undefined ? sentAt : now })
+    const limit = this.recordLimit({ rate: rateLimit, at: rateLimit === undefined ? sentAt : now })
     if (limit !== undefined) changes.push(limit)
-    if (leaving && this.noteLeaving()) changes.push({ kind: 'leaving' })
+    if (leaving && this.recordLeaving()) changes.push({ kind: 'leaving' })
     if (rest !== undefined && now + rest > this._restsUntil) {
       this._restsUntil = now + rest
       changes.push({ kind: 'rest', lasts: rest })
@@ -57,7 +57,7 @@
   }
 
   /** @returns whether that is news */
-  noteLeaving (): boolean {
+  recordLeaving (): boolean {
     const isNews = !this._leaving
     this._leaving = true
     return isNews
@@ -68,7 +68,7 @@
    *
    * @returns what it changes, if anything
    */
-  noteLimit ({ rate, at }: Omit<LimitWord, 'everNamed'>): NoticeChange & { readonly kind: 'limit' } | undefined {
+  recordLimit ({ rate, at }: Omit<LimitNotice, 'everNamed'>): NoticeChange & { readonly kind: 'limit' } | undefined {
     if (at <= this._limit.at) return undefined
     const before = this._limit.rate
     this._limit = { rate, at, everNamed: this._limit.everNamed || rate !== undefined }
--- a/packages/decisions/src/lib/upstream-plan.ts
+++ b/packages/decisions/src/lib/upstream-plan.ts
@@ -6,8 +6,8 @@
 import type { PlanEffect, PlanLimits, PlanMessage, PlanReport } from './plan-messages.js'
 import { type BackoffLimits, fullJitter } from './retry-budget.js'
 import { type Slot, SlotTable } from './slot-table.js'
-import { Smoothed } from './smoothed.js'
-import { compareAge, compareUrgency, type PlanRequest, WaitingLine } from './waiting-line.js'
+import { MovingAverage } from './moving-average.js'
+import { compareAge, compareUrgency, type PlanRequest, WaitQueue } from './wait-queue.js'
 
 const popularityHalfLife: Ms = 60_000
 const initialLoadMs: Ms = 500
@@ -31,13 +31,13 @@
  * generator is unhandy. It does no I/O and reads no clock: messages carry the time.
  */
 export class UpstreamPlan {
-  private readonly _waiting = new WaitingLine()
+  private readonly _waiting = new WaitQueue()
   private readonly _running = new Map<string, Running>()
   private readonly _slots = new SlotTable()
   private readonly _popularity = new DecayedCounter(popularityHalfLife)
   private readonly _failures = new Map<AdapterKey, LoadFailures>()
-  private readonly _loadMs = new Smoothed(initialLoadMs)
-  private readonly _serviceMs = new Smoothed(initialServiceMs)
+  private readonly _loadMs = new MovingAverage(initialLoadMs)
+  private readonly _serviceMs = new MovingAverage(initialServiceMs)
   private _effects: PlanEffect[] = []
   private _leaving = false
   private _permitWanted = false
--- a/packages/decisions/src/lib/usage-keeper.ts
+++ b/packages/decisions/src/lib/usage-allocator.ts
@@ -48,7 +48,7 @@
 }
 
 /** What a keeper must know besides the report. */
-export interface KeeperContext {
+export interface AllocatorContext {
   readonly bounds: UsageBounds
   readonly now: Ms
   /** Entries that are listed. */
@@ -60,7 +60,7 @@
 /**
  * Age at which an entry's word counts no more. It may ask another keeper by then, and what it holds has lapsed.
  */
-export const wordLasts: Ms = 1_500
+export const reportTtl: Ms = 1_500
 /** Longest time that one report covers: after a long silence nobody has used what would have come meanwhile. */
 const longestCover: Ms = 1_000
 /** Parts of the allowed overage and slack that may be used at once; what is left of them is for what two keepers lend at one moment. */
@@ -84,7 +84,7 @@
   private readonly _words = new Map<string, Word>()
   private _level = 0
   private _cap = 0
-  /** Time by which it was refilled last, see {@link UsageKeeper}. */
+  /** Time by which it was refilled last, see {@link UsageAllocator}. */
   private _covered: Ms = 0
 
   /**
@@ -104,7 +104,7 @@
   private _outstanding (now: Ms): number {
     let sum = 0
     for (const [entry, { holding, at }] of this._words) {
-      if (now - at < wordLasts) sum += holding
+      if (now - at < reportTtl) sum += holding
       else this._words.delete(entry)
     }
     return sum
@@ -167,7 +167,7 @@
  * one entry's part of the rate, for the time since that entry's last report; whoever an entry reports to, each part is lent
  * once. A keeper begins with empty buckets, since the one before it may have lent everything a moment ago.
  */
-export class UsageKeeper {
+export class UsageAllocator {
   /** When each entry was heard. */
   private readonly _heard = new Map<string, Ms>()
   private readonly _buckets = new Map<string, Bucket>()
@@ -175,7 +175,7 @@
   private _covered: Ms = 0
 
   /** Takes an entry's report and lends it what can be lent. */
-  report ({ entry, covers, rows }: UsageReport, context: KeeperContext): readonly UsageGrant[] {
+  report ({ entry, covers, rows }: UsageReport, context: AllocatorContext): readonly UsageGrant[] {
     this._hear(entry, context.now)
     const entries = Math.max(1, context.entries, this._heard.size)
     const share = this._heard.size / entries
@@ -196,7 +196,7 @@
   }
 
   private _hear (entry: string, now: Ms): void {
-    for (const [other, at] of this._heard) if (now - at >= wordLasts) this._heard.delete(other)
+    for (const [other, at] of this._heard) if (now - at >= reportTtl) this._heard.delete(other)
     if (this._heard.size === 0) {
       this._buckets.clear()
       this._covered = 0
--- a/packages/decisions/src/lib/usage-pool.ts
+++ b/packages/decisions/src/lib/usage-pool.ts
@@ -3,10 +3,10 @@
  */
 import { elapsed, type Instant, type Ms } from '@hazelford/core'
 import { DecayedCounter } from './decayed-counter.js'
-import { type UsageGrant, type UsageRow, wordLasts } from './usage-keeper.js'
+import { type UsageGrant, type UsageRow, reportTtl } from './usage-allocator.js'
 
 /** Whether a request's usage can be had. */
-export type Spending =
+export type SpendResult =
   | { readonly kind: 'spent' }
   /** The keeper must be asked. */
   | { readonly kind: 'short' }
@@ -39,7 +39,7 @@
  */
 const wordAtLeast: Ms = 100
 /** What is lent lapses before its keeper stops counting it. */
-const creditLasts: Ms = wordLasts - 300
+const creditLasts: Ms = reportTtl - 300
 /** Key of the one counter: what is asked for here, granted or not. */
 const asked = 'asked'
 
@@ -65,16 +65,16 @@
   }
 
   /** Takes a request's usage. */
-  spend (cost: number, at: Instant): Spending {
+  spend (cost: number, at: Instant): SpendResult {
     if (cost <= this.available(at)) {
       this._available -= cost
       return { kind: 'spent' }
     }
-    return this.outlook(at.now)
+    return this.expectedAvailability(at.now)
   }
 
   /** What the keeper's last word means for a request that can't be let in now. */
-  outlook (now: Ms): Spending & { readonly kind: 'short' | 'held' | 'closed' } {
+  expectedAvailability (now: Ms): SpendResult & { readonly kind: 'short' | 'held' | 'closed' } {
     if (now >= this._noneUntil) return { kind: 'short' }
     const wait = this._lendsAt - now
     return wait <= this._longestHold(now) ? { kind: 'held', retryAfter: Math.max(0, wait) } : { kind: 'closed', retryAfter: wait }
@@ -125,7 +125,7 @@
   }
 
   /** Takes the keeper's answer to a report that was sent at `sent`. */
-  take ({ granted, wait }: UsageGrant, sent: Instant, at: Instant): void {
+  applyGrant ({ granted, wait }: UsageGrant, sent: Instant, at: Instant): void {
     this._available = this.available(at) + granted
     this._provedAt = sent
     this._lendsAt = at.now + wait
--- a/packages/decisions/src/lib/waiting-line.ts
+++ b/packages/decisions/src/lib/wait-queue.ts
@@ -36,7 +36,7 @@
 const noAdapter = ''
 
 /** Waiting requests, grouped by adapter in order of arrival. */
-export class WaitingLine {
+export class WaitQueue {
   private readonly _groups = new Map<AdapterKey, PlanRequest[]>()
   private readonly _byId = new Map<string, PlanRequest>()
 
--- a/packages/decisions/src/test/adapter-plan.steps.ts
+++ b/packages/decisions/src/test/adapter-plan.steps.ts
@@ -4,7 +4,7 @@
 import assert from 'node:assert/strict'
 import { Given, Then, When } from '@cucumber/cucumber'
 import fc from 'fast-check'
-import type { EngineReport, EngineSpec, OrderOutcome } from '@hazelford/ports'
+import type { EngineReport, EngineSpec, EngineOrderOutcome } from '@hazelford/ports'
 import { AdapterPlan, type PlanAction, type Readiness } from '../lib/adapter-plan.js'
 import { propertyOptions } from './support/property-options.js'
 
@@ -28,7 +28,7 @@
   most = 0
   mostComing = 0
 
-  take ({ kind, target }: Order, after: number, now: number): OrderOutcome {
+  take ({ kind, target }: Order, after: number, now: number): EngineOrderOutcome {
     this._arrive(now)
     const adapter = target.adapter!
     // Asked after again, a load under way is accepted whatever it is based on, and not counted.
@@ -88,21 +88,21 @@
   const step = (): void => {
     for (const { order, after } of late.filter(({ at }) => at <= now)) engine.take(order, after, now)
     late.splice(0, late.length, ...late.filter(({ at }) => at > now))
-    const action = plan.next(now)
+    const action = plan.nextAction(now)
     if (action.kind === 'idle') return
     if (action.kind === 'report') {
-      plan.takeReport(engine.report(now), now)
+      plan.applyReport(engine.report(now), now)
       return
     }
     const fate = fates[sent++ % fates.length]!
     if (fate === 'late') late.push({ at: now + 3_000, order: action, after: plan.orders })
     const outcome = fate === 'answered' || fate === 'lost-after' ? engine.take(action, plan.orders, now) : undefined
     const heard = fate === 'answered' ? outcome : undefined
-    plan.ordered(action, heard, now)
+    plan.recordOrderOutcome(action, heard, now)
   }
   for (const { adapter, gap } of asks) {
     for (const end = now + gap; now < end; now += 10) step()
-    plan.ask({ model, adapter: `a${adapter}` }, { urgency: 1, until: now + 2_000, dueAt: now + 1_000, missing: false, repeated: false, mayWait: true }, now)
+    plan.requestAdapter({ model, adapter: `a${adapter}` }, { urgency: 1, until: now + 2_000, dueAt: now + 1_000, missing: false, repeated: false, mayWait: true }, now)
   }
   for (const end = now + 6_000; now < end; now += 10) step()
   return engine
@@ -124,13 +124,13 @@
 
 function ask (world: PlanWorld, adapter: string, mayWait = true, version?: number): void {
   const want = { model, adapter, ...(version === undefined ? {} : { version }) }
-  world.readiness = world.plan.ask(want, { urgency: 1, until: world.now + 2_000, dueAt: world.now + 1_000, missing: false, repeated: false, mayWait }, world.now)
+  world.readiness = world.plan.requestAdapter(want, { urgency: 1, until: world.now + 2_000, dueAt: world.now + 1_000, missing: false, repeated: false, mayWait }, world.now)
 }
 
 function prepare (world: PlanWorld, slots: number, adapters: readonly string[]): void {
   world.now = 0
   world.plan = new AdapterPlan(specOf(slots))
-  world.plan.takeReport(report(adapters), 0)
+  world.plan.applyReport(report(adapters), 0)
 }
 
 Given('an engine with 2 adapter slots, both promised', function (this: PlanWorld) {
@@ -143,13 +143,13 @@
 When('a third adapter is asked for', function (this: PlanWorld) { ask(this, 'a3') })
 
 Then('nothing is unloaded before the promises end', function (this: PlanWorld) {
-  assert.equal(this.plan.next(200).kind, 'idle')
-  assert.equal(this.plan.next(400).kind, 'unload')
+  assert.equal(this.plan.nextAction(200).kind, 'idle')
+  assert.equal(this.plan.nextAction(400).kind, 'unload')
 })
 
 Given('an engine with 2 adapter slots, both in use', function (this: PlanWorld) {
   prepare(this, 2, ['a1', 'a2'])
-  this.plan.noteUse('entry-1', [`${model}/a1`, `${model}/a2`], 0)
+  this.plan.recordUse('entry-1', [`${model}/a1`, `${model}/a2`], 0)
 })
 
 Then('a third adapter is answered with "occupied" when its request may not wait', function (this: PlanWorld) {
@@ -168,7 +168,7 @@
 When('another adapter is asked for', function (this: PlanWorld) { ask(this, 'new') })
 
 Then('it is the next one loaded', function (this: PlanWorld) {
-  const action = this.plan.next(this.now)
+  const action = this.plan.nextAction(this.now)
   assert.ok(action.kind === 'load' && action.target.adapter === 'new')
 })
 
@@ -180,25 +180,25 @@
   }
   const first: (string | undefined)[] = []
   for (let n = 0; n < 4; n++) {
-    const action = this.plan.next(this.now)
+    const action = this.plan.nextAction(this.now)
     if (action.kind !== 'load') break
     first.push(action.target.adapter)
-    this.plan.ordered(action, 'accepted', this.now)
+    this.plan.recordOrderOutcome(action, 'accepted', this.now)
   }
   assert.ok(first.includes('hot'), first.join())
 })
 
 Given('an engine whose adapter is in use in version 1', function (this: PlanWorld) {
   prepare(this, 2, ['a1'])
-  this.plan.noteUse('entry-1', [`${model}/a1`], 0)
+  this.plan.recordUse('entry-1', [`${model}/a1`], 0)
 })
 
 When('version 2 of it is asked for', function (this: PlanWorld) { ask(this, 'a1', true, 2) })
 
 Then('no load is ordered before its requests have ended', function (this: PlanWorld) {
-  assert.equal(this.plan.next(100).kind, 'idle')
-  this.plan.noteUse('entry-1', [], 200)
-  const action = this.plan.next(300)
+  assert.equal(this.plan.nextAction(100).kind, 'idle')
+  this.plan.recordUse('entry-1', [], 200)
+  const action = this.plan.nextAction(300)
   assert.ok(action.kind === 'load' && action.target.version === 2)
 })
 
@@ -220,43 +220,43 @@
   this.engine = new PlayedEngine(lostLoadMs)
   this.plan = new AdapterPlan(specOf(4))
   this.now = startedMs
-  assert.equal(this.plan.next(this.now).kind, 'report')
-  this.plan.takeReport(this.engine.report(this.now), this.now)
-  this.plan.ask({ model, adapter: 'a1' }, { urgency: 1, until: this.now + 10_000, dueAt: this.now + 10_000, missing: false, repeated: false, mayWait: true }, this.now)
-  for (let action = this.plan.next(this.now); action.kind === 'load' || action.kind === 'unload'; action = this.plan.next(this.now)) {
+  assert.equal(this.plan.nextAction(this.now).kind, 'report')
+  this.plan.applyReport(this.engine.report(this.now), this.now)
+  this.plan.requestAdapter({ model, adapter: 'a1' }, { urgency: 1, until: this.now + 10_000, dueAt: this.now + 10_000, missing: false, repeated: false, mayWait: true }, this.now)
+  for (let action = this.plan.nextAction(this.now); action.kind === 'load' || action.kind === 'unload'; action = this.plan.nextAction(this.now)) {
     this.engine.take(action, 0, this.now)
     this.now += stepMs
-    this.plan.ordered(action, undefined, this.now)
+    this.plan.recordOrderOutcome(action, undefined, this.now)
   }
 })
 
 When('a report says that the adapter is coming', function (this: LostWorld) {
-  while (this.plan.next(this.now).kind === 'idle') this.now += stepMs
-  assert.equal(this.plan.next(this.now).kind, 'report')
+  while (this.plan.nextAction(this.now).kind === 'idle') this.now += stepMs
+  assert.equal(this.plan.nextAction(this.now).kind, 'report')
   const report = this.engine.report(this.now)
   assert.equal(report.coming.length, 1)
-  this.plan.takeReport(report, this.now)
+  this.plan.applyReport(report, this.now)
 })
 
 Then('the adapter is promised within {int} ms of being there', function (this: LostWorld, ms: number) {
   const latest = startedMs + lostLoadMs + ms
-  while (this.plan.promise({ model, adapter: 'a1' }, this.now)?.kind !== 'ready') {
+  while (this.plan.reserve({ model, adapter: 'a1' }, this.now)?.kind !== 'ready') {
     assert.ok(this.now <= latest, 'not promised')
-    const ready = this.plan.nextReady(this.now)
+    const ready = this.plan.nextLoadDueAt(this.now)
     assert.ok(ready === undefined || Number.isFinite(ready), `next look at ${ready}`)
-    const action = this.plan.next(this.now)
-    if (action.kind === 'load') this.plan.ordered(action, this.engine.take(action, this.plan.orders, this.now), this.now)
-    if (action.kind === 'report') this.plan.takeReport(this.engine.report(this.now), this.now)
+    const action = this.plan.nextAction(this.now)
+    if (action.kind === 'load') this.plan.recordOrderOutcome(action, this.engine.take(action, this.plan.orders, this.now), this.now)
+    if (action.kind === 'report') this.plan.applyReport(this.engine.report(this.now), this.now)
     this.now += stepMs
   }
 })
 
 Then('the load\'s time was learned as less than {int} s', function (this: LostWorld, seconds: number) {
   const begun = this.now
-  this.plan.ask({ model, adapter: 'a2' }, { urgency: 1, until: begun + 10_000, dueAt: begun + 10_000, missing: false, repeated: false, mayWait: true }, begun)
-  const action = this.plan.next(begun)
+  this.plan.requestAdapter({ model, adapter: 'a2' }, { urgency: 1, until: begun + 10_000, dueAt: begun + 10_000, missing: false, repeated: false, mayWait: true }, begun)
+  const action = this.plan.nextAction(begun)
   assert.equal(action.kind, 'load')
-  if (action.kind === 'load') this.plan.ordered(action, 'accepted', begun)
-  const ready = this.plan.nextReady(begun)
+  if (action.kind === 'load') this.plan.recordOrderOutcome(action, 'accepted', begun)
+  const ready = this.plan.nextLoadDueAt(begun)
   assert.ok(ready !== undefined && ready - begun < seconds * 1_000, `expected after ${(ready ?? 0) - begun} ms`)
 })
--- a/packages/decisions/src/test/prompt-pacer.steps.ts
+++ b/packages/decisions/src/test/prompt-pacer.steps.ts
@@ -5,7 +5,7 @@
 import { Then } from '@cucumber/cucumber'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64'
-import { PromptPacer } from '../lib/prompt-pacer.js'
+import { PromptThrottle } from '../lib/prompt-throttle.js'
 
 interface Arrival { readonly id: string, readonly at: number, readonly tokens: number, readonly output: number, readonly urgency: number }
 
@@ -74,7 +74,7 @@
 }
 
 function play (load: readonly Arrival[], paced: boolean): readonly Outcome[] {
-  const pacer = new PromptPacer()
+  const pacer = new PromptThrottle()
   const engine = new PlayedBatch()
   const byId = new Map(load.map(arrival => [arrival.id, arrival]))
   const waiting = new Set<Arrival>()
@@ -84,7 +84,7 @@
     for (; next < load.length && load[next]!.at <= now; next++) waiting.add(load[next]!)
     for (const arrival of waiting) {
       if (!paced) engine.take(arrival)
-      else pacer.offer({ id: arrival.id, tokens: arrival.tokens, urgency: arrival.urgency, dueAt: arrival.at + firstDue }, now)
+      else pacer.enqueue({ id: arrival.id, tokens: arrival.tokens, urgency: arrival.urgency, dueAt: arrival.at + firstDue }, now)
     }
     if (!paced) waiting.clear()
     for (const id of paced ? pacer.admit(now) : []) {
@@ -94,7 +94,7 @@
     const told = engine.outcomes.length
     now += engine.step(now)
     const ended = engine.outcomes.slice(told)
-    pacer.learn(ended.length, ended.filter(({ paused: late }) => late).length)
+    pacer.adjustSpeed(ended.length, ended.filter(({ paused: late }) => late).length)
   }
   return engine.outcomes
 }
@@ -120,22 +120,22 @@
 })
 
 Then('streams that pause too long slow it down, and streams that don\'t speed it up, within bounds', () => {
-  const pacer = new PromptPacer()
+  const pacer = new PromptThrottle()
   const first = pacer.rate
-  pacer.learn(10, 5)
+  pacer.adjustSpeed(10, 5)
   assert.ok(pacer.rate < first)
-  pacer.learn(100_000, 100_000)
+  pacer.adjustSpeed(100_000, 100_000)
   const least = pacer.rate
   assert.ok(least > 0 && least >= first * 0.39)
-  pacer.learn(1_000_000, 0)
+  pacer.adjustSpeed(1_000_000, 0)
   assert.ok(pacer.rate <= first * 2.01)
 })
 
 Then('it leaves the line without being let in', () => {
-  const pacer = new PromptPacer()
-  pacer.offer({ id: 'big', tokens: 100_000, urgency: 1, dueAt: 800 }, 0)
+  const pacer = new PromptThrottle()
+  pacer.enqueue({ id: 'big', tokens: 100_000, urgency: 1, dueAt: 800 }, 0)
   assert.deepEqual(pacer.admit(0), ['big'])
-  pacer.offer({ id: 'left', tokens: 10, urgency: 1, dueAt: 800 }, 0)
+  pacer.enqueue({ id: 'left', tokens: 10, urgency: 1, dueAt: 800 }, 0)
   assert.deepEqual(pacer.admit(10), [])
   assert.deepEqual(pacer.admit(60_000), [])
   assert.equal(pacer.waiting, 0)
--- a/packages/decisions/src/test/relay-flow.steps.ts
+++ b/packages/decisions/src/test/relay-flow.steps.ts
@@ -110,7 +110,7 @@
 
 function observe ({ request, messages: list }: Input): Observer {
   const observer = new Observer(request)
-  const flow = relayFlow(request, { takeRepeat: () => true, isAllowed: () => true, isHeld: () => false })
+  const flow = relayFlow(request, { takeRepeat: () => true, isAllowed: () => true, isQuarantined: () => false })
   let step = flow.next()
   for (const effect of step.value ?? []) observer.saw(effect)
   for (const msg of list) {
@@ -154,7 +154,7 @@
       return true
     },
     isAllowed: () => true,
-    isHeld: () => false
+    isQuarantined: () => false
   })
   world.flow.next()
   tell(world, { kind: 'placed', upstream: 'u1' })
@@ -186,7 +186,7 @@
   assert.deepEqual(waits, ['wait'])
   tell(this, { kind: 'waited' })
   const [effect] = this.effects
-  assert.ok(effect?.kind === 'place' && effect.again === 'u1')
+  assert.ok(effect?.kind === 'place' && effect.retryUpstream === 'u1')
 })
 
 When('its upstream answers with an error and no other can be had', function (this: FlowWorld) {
@@ -213,7 +213,7 @@
 })
 
 Given('a direct stock check that is held back', function (this: FlowWorld) {
-  this.flow = relayFlow({ kind: 'read-only', resumable: false, maxAttempts: 2 }, { takeRepeat: () => true, isAllowed: () => true, isHeld: () => true })
+  this.flow = relayFlow({ kind: 'read-only', resumable: false, maxAttempts: 2 }, { takeRepeat: () => true, isAllowed: () => true, isQuarantined: () => true })
   this.effects = this.flow.next().value ?? []
 })
 
@@ -267,7 +267,7 @@
 })
 
 Given('a direct stock check whose key is withdrawn before it is placed', function (this: FlowWorld) {
-  this.flow = relayFlow({ kind: 'read-only', resumable: false, maxAttempts: 2 }, { takeRepeat: () => true, isAllowed: () => false, isHeld: () => false })
+  this.flow = relayFlow({ kind: 'read-only', resumable: false, maxAttempts: 2 }, { takeRepeat: () => true, isAllowed: () => false, isQuarantined: () => false })
   this.flow.next()
   tell(this, { kind: 'placed', upstream: 'u1' })
 })
--- a/packages/decisions/src/test/request-flow.steps.ts
+++ b/packages/decisions/src/test/request-flow.steps.ts
@@ -39,7 +39,7 @@
 
 /** Checks every effect against what a naive reader of the verdicts would allow. */
 function trace ({ idempotent, streamed, messages }: Input): Trace {
-  const flow = requestFlow({ idempotent, streamed }, { choose: () => 'u', mayComeBack: () => false, takeRetry: () => true, heldBack: () => undefined, remaining: () => 1_000, random: () => 0.5 })
+  const flow = requestFlow({ idempotent, streamed }, { choose: () => 'u', mayComeBack: () => false, takeRetry: () => true, quarantineFailure: () => undefined, remaining: () => 1_000, random: () => 0.5 })
   const effects: FlowEffect[] = []
   const violations: string[] = []
   let open = false
@@ -101,7 +101,7 @@
 let last: readonly FlowEffect[] = []
 
 function begin (idempotent: boolean, streamed: boolean): void {
-  flow = requestFlow({ idempotent, streamed }, { choose: () => 'u', mayComeBack: () => false, takeRetry: () => true, heldBack: () => undefined, remaining: () => 1_000, random: () => 0 })
+  flow = requestFlow({ idempotent, streamed }, { choose: () => 'u', mayComeBack: () => false, takeRetry: () => true, quarantineFailure: () => undefined, remaining: () => 1_000, random: () => 0 })
   last = flow.next().value ?? []
 }
 
--- a/packages/decisions/src/test/request-quarantine.steps.ts
+++ b/packages/decisions/src/test/request-quarantine.steps.ts
@@ -16,7 +16,7 @@
 
 /** Counts an end, and holds the request back as soon as that is due. */
 function end (quarantine: RequestQuarantine, request: string, upstream: string, at: Ms, now: Ms): void {
-  if (quarantine.noteEnd(request, { upstream, at }, now)) quarantine.hold(request, now)
+  if (quarantine.recordTermination(request, { upstream, at }, now)) quarantine.hold(request, now)
 }
 
 type Step =
@@ -72,7 +72,7 @@
         end(quarantine, step.request, step.upstream, now - step.age, now)
         naive.end(step.request, step.upstream, now - step.age, now)
       } else if (step.kind === 'answered') {
-        quarantine.noteAnswered(step.request, now)
+        quarantine.recordAnswered(step.request, now)
         naive.answered(step.request, now)
       } else assert.equal(quarantine.holds(step.request, now), naive.holds(step.request, now))
     }
@@ -98,7 +98,7 @@
 })
 
 When('a request is answered, and {int} ms later {string}, {string} and {string} end with one like it', function (this: QuarantineWorld, later: number, first: string, second: string, third: string) {
-  this.quarantine.noteAnswered(asked, this.now)
+  this.quarantine.recordAnswered(asked, this.now)
   this.now += later
   for (const upstream of [first, second, third]) end(this.quarantine, asked, upstream, this.now, this.now)
 })
@@ -115,12 +115,12 @@
   assert.equal(this.refused.at(-1), false)
 })
 
-When('it is answered', function (this: QuarantineWorld) { this.quarantine.noteAnswered(asked, this.now) })
+When('it is answered', function (this: QuarantineWorld) { this.quarantine.recordAnswered(asked, this.now) })
 
 When('upstream {string} ends under it', function (this: QuarantineWorld, upstream: string) { end(this.quarantine, asked, upstream, this.now, this.now) })
 
 When('a request is answered, and {int} ms later it is held back by the word of another entry', function (this: QuarantineWorld, later: number) {
-  this.quarantine.noteAnswered(asked, this.now)
+  this.quarantine.recordAnswered(asked, this.now)
   this.now += later
   this.quarantine.hold(asked, this.now)
 })
--- a/packages/decisions/src/test/share-engines.steps.ts
+++ b/packages/decisions/src/test/share-engines.steps.ts
@@ -4,7 +4,7 @@
 import assert from 'node:assert/strict'
 import { Given, Then, When } from '@cucumber/cucumber'
 import fc from 'fast-check'
-import { claimOrders, FormerHolds, pickHandover } from '../lib/share-engines.js'
+import { claimSequences, ReclaimCooldown, pickHandover } from '../lib/engine-assignment.js'
 import { propertyOptions } from './support/property-options.js'
 
 class Shares {
@@ -16,7 +16,7 @@
   /** Every free engine is claimed by the first in its order. */
   claim (): void {
     const free = this.engines.filter(engine => !this.holders.has(engine))
-    for (const [engine, [first]] of claimOrders(free, this)) if (first !== undefined) this.holders.set(engine, first)
+    for (const [engine, [first]] of claimSequences(free, this)) if (first !== undefined) this.holders.set(engine, first)
   }
 
   /** Handovers until no entry gives any more. */
@@ -105,7 +105,7 @@
 /** Entries that stop and start at any time, and what each has ordered. */
 class Turns {
   private readonly _shares: Shares
-  private readonly _memories = new Map<string, FormerHolds>()
+  private readonly _memories = new Map<string, ReclaimCooldown>()
   private readonly _freeSince = new Map<string, number>()
   private readonly _startedAt = new Map<string, number>()
   private readonly _stoppedAt = new Map<string, number>()
@@ -115,7 +115,7 @@
 
   constructor (engines: number, entries: number) {
     this._shares = new Shares(names('engine', engines), names('entry', entries))
-    for (const entry of this._shares.entries) this._memories.set(entry, new FormerHolds(turn))
+    for (const entry of this._shares.entries) this._memories.set(entry, new ReclaimCooldown(turn))
   }
 
   /** Lets time pass; entries claim what is free and hand over what is uneven. */
@@ -136,7 +136,7 @@
     }
     if (this._now - this._stoppedAt.get(entry)! < drains) return
     this._shares.entries = [...this._shares.entries, entry]
-    this._memories.set(entry, new FormerHolds(turn))
+    this._memories.set(entry, new ReclaimCooldown(turn))
     this._startedAt.set(entry, this._now)
   }
 
@@ -149,9 +149,9 @@
 
   private _claim (engine: string): void {
     const since = this._freeSince.get(engine) ?? 0
-    const order = claimOrders([engine], this._shares).get(engine)!
+    const order = claimSequences([engine], this._shares).get(engine)!
     const claimant = order.find((entry, rank) => this._now - since >= rank * claimStep && this._now - (this._startedAt.get(entry) ?? -settles) >= settles &&
-      (this._former.get(engine) === entry || this._memories.get(entry)!.mayReturn(engine, this._now)))
+      (this._former.get(engine) === entry || this._memories.get(entry)!.mayReclaim(engine, this._now)))
     if (claimant === undefined) return
     this._shares.holders.set(engine, claimant)
     this.holds.set(engine, [...this.holds.get(engine) ?? [], { entry: claimant, from: this._now, until: this._now }])
--- a/packages/decisions/src/test/small-decisions.steps.ts
+++ b/packages/decisions/src/test/small-decisions.steps.ts
@@ -22,8 +22,8 @@
     const withdrawn = new Set<number>()
     for (const { withdraw, seq } of list) {
       if (withdraw) {
-        if (ledger.bury(seq)) withdrawn.add(seq)
-      } else if (ledger.take(seq) === 'new') {
+        if (ledger.recordWithdrawal(seq)) withdrawn.add(seq)
+      } else if (ledger.register(seq) === 'new') {
         assert.ok(!taken.has(seq), 'taken twice')
         assert.ok(!withdrawn.has(seq), 'taken after its withdraw')
         taken.add(seq)
--- a/packages/decisions/src/test/support/ending-play.ts
+++ b/packages/decisions/src/test/support/ending-play.ts
@@ -4,7 +4,7 @@
 import type { Ms } from '@hazelford/core'
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
-import { isSuspect, RequestQuarantine } from '../../lib/request-quarantine.js'
+import { mayHaveCausedTermination, RequestQuarantine } from '../../lib/request-quarantine.js'
 
 /** The load of a play. */
 export interface EndingLoad {
@@ -54,7 +54,7 @@
   endStreams (now: Ms): void {
     for (const [n, { request, until }] of this._streams.entries()) {
       if (until > now) continue
-      this._quarantine.noteAnswered(request, now)
+      this._quarantine.recordAnswered(request, now)
       this._streams[n] = this._begin(now)
     }
   }
@@ -74,13 +74,13 @@
     this._note(endingRequest, engine, now)
     for (const [n, stream] of this._streams.entries()) {
       if (stream.engine !== engine) continue
-      if (isSuspect(now - stream.since)) this._note(stream.request, engine, now)
+      if (mayHaveCausedTermination(now - stream.since)) this._note(stream.request, engine, now)
       this._streams[n] = { ...stream, engine: this._pick(this._load.engines), since: now }
     }
   }
 
   private _note (request: string, engine: number, now: Ms): void {
-    if (this._quarantine.noteEnd(request, { upstream: `u${engine}`, at: now }, now) && this._quarantine.hold(request, now)) this.held.add(request)
+    if (this._quarantine.recordTermination(request, { upstream: `u${engine}`, at: now }, now) && this._quarantine.hold(request, now)) this.held.add(request)
   }
 
   private _begin (now: Ms): Stream {
--- a/packages/decisions/src/test/support/plan-bench.ts
+++ b/packages/decisions/src/test/support/plan-bench.ts
@@ -4,7 +4,7 @@
 import assert from 'node:assert/strict'
 import type { PlanEffect, PlanLimits, PlanMessage } from '../../lib/plan-messages.js'
 import { UpstreamPlan } from '../../lib/upstream-plan.js'
-import type { PlanRequest } from '../../lib/waiting-line.js'
+import type { PlanRequest } from '../../lib/wait-queue.js'
 
 /** How a request ended. */
 export type Ending = 'ran' | 'refused'
--- a/packages/decisions/src/test/support/slot-play.ts
+++ b/packages/decisions/src/test/support/slot-play.ts
@@ -75,7 +75,7 @@
     this._random = randoms(_load.seed)
     this._pick = zipf(_load.adapters, this._random)
     this._plan = new AdapterPlan({ slots: 64, weightsMb: 1e6, adapterSlots: _load.slots, loadsPerSecond: 10, models: [{ name: model, weightsMb: 1, adapterMb: 1, adapters: _load.adapters }] })
-    this._plan.takeReport({ models: [{ model, version: 1, adapters: [] }], coming: [], busy: false, orders: 0, running: 0, waiting: 0 }, 0)
+    this._plan.applyReport({ models: [{ model, version: 1, adapters: [] }], coming: [], busy: false, orders: 0, running: 0, waiting: 0 }, 0)
   }
 
   play (): SlotResult {
@@ -101,7 +101,7 @@
     const { adapter, at } = open
     open.askedAt = now
     this._tellUse(now)
-    this._plan.ask({ model, adapter }, { urgency: 1, until: at + patience, dueAt: at + target, missing: false, mayWait: true, repeated }, now)
+    this._plan.requestAdapter({ model, adapter }, { urgency: 1, until: at + patience, dueAt: at + target, missing: false, mayWait: true, repeated }, now)
   }
 
   private _end (now: Ms): void {
@@ -109,7 +109,7 @@
     if (now % this._load.wordEvery === 0) this._tellUse(now)
   }
 
-  private _tellUse (now: Ms): void { this._plan.noteUse(entry, this._running.map(({ adapter }) => `${model}/${adapter}`), now) }
+  private _tellUse (now: Ms): void { this._plan.recordUse(entry, this._running.map(({ adapter }) => `${model}/${adapter}`), now) }
 
   private _start (now: Ms): void {
     const { target, patience, runs, reads } = this._load
@@ -120,7 +120,7 @@
         this._counts.all++
         return false
       }
-      if (this._plan.promise({ model, adapter }, now) === undefined) return true
+      if (this._plan.reserve({ model, adapter }, now) === undefined) return true
       this._plan.addUse(entry, model, adapter, now)
       this._running.push({ adapter, until: now + runs })
       this._counts[now + reads - at <= target ? 'inTime' : 'late']++
@@ -131,12 +131,12 @@
 
   /** Carries out orders until the plan has none; an engine answers each at once. */
   private _order (now: Ms): void {
-    for (let action = this._plan.next(now); action.kind === 'load' || action.kind === 'unload'; action = this._plan.next(now)) {
+    for (let action = this._plan.nextAction(now); action.kind === 'load' || action.kind === 'unload'; action = this._plan.nextAction(now)) {
       const { adapter } = action.target
       if (adapter === undefined) return
       if (action.kind === 'unload') {
         this._held.delete(adapter)
-        this._plan.ordered(action, 'holds', now)
+        this._plan.recordOrderOutcome(action, 'holds', now)
         continue
       }
       const readyAt = this._held.get(adapter)
@@ -145,7 +145,7 @@
         this._held.set(adapter, now + (this._recent.has(adapter) ? recentLoad : freshLoad))
         this._recent.add(adapter)
       }
-      this._plan.ordered(action, readyAt !== undefined && readyAt <= now ? 'holds' : 'accepted', now)
+      this._plan.recordOrderOutcome(action, readyAt !== undefined && readyAt <= now ? 'holds' : 'accepted', now)
     }
   }
 }
--- a/packages/decisions/src/test/upstream-notices.steps.ts
+++ b/packages/decisions/src/test/upstream-notices.steps.ts
@@ -9,14 +9,14 @@
 import { propertyOptions } from './support/property-options.js'
 
 /** An answer: how long after the one before it was read, and how long it took. */
-interface Answer { readonly gap: Ms, readonly took: Ms, readonly rateLimit: number | undefined, readonly leaving: boolean, readonly rest: Ms | undefined }
+interface Answer { readonly gap: Ms, readonly took: Ms, readonly rateLimit: number | undefined, readonly leaving: boolean, readonly backoff: Ms | undefined }
 
 const answers: fc.Arbitrary<readonly Answer[]> = fc.array(fc.record({
   gap: fc.integer({ min: 1, max: 300 }),
   took: fc.integer({ min: 0, max: 400 }),
   rateLimit: fc.constantFrom(undefined, undefined, 1.4, 3),
   leaving: fc.integer({ min: 0, max: 9 }).map(n => n === 0),
-  rest: fc.constantFrom(undefined, undefined, 200, 900)
+  backoff: fc.constantFrom(undefined, undefined, 200, 900)
 }), { maxLength: 30 })
 
 interface Read extends Answer { readonly at: Ms }
@@ -39,7 +39,7 @@
       read.push({ ...answer, at: now })
       assert.equal(notices.limit.rate, naiveLimit(read))
       assert.equal(notices.leaving, read.some(({ leaving }) => leaving))
-      assert.equal(notices.restsUntil, Math.max(-Infinity, ...read.flatMap(({ at, rest }) => rest === undefined ? [] : [at + rest])))
+      assert.equal(notices.backoffUntil, Math.max(-Infinity, ...read.flatMap(({ at, backoff }) => backoff === undefined ? [] : [at + backoff])))
     }
   }), propertyOptions)
 })
--- a/packages/decisions/src/test/upstream-plan.steps.ts
+++ b/packages/decisions/src/test/upstream-plan.steps.ts
@@ -5,7 +5,7 @@
 import { Given, Then, When } from '@cucumber/cucumber'
 import fc from 'fast-check'
 import type { TrafficClass } from '@hazelford/core'
-import type { PlanRequest } from '../lib/waiting-line.js'
+import type { PlanRequest } from '../lib/wait-queue.js'
 import { PlanBench } from './support/plan-bench.js'
 import { propertyOptions } from './support/property-options.js'
 
--- a/packages/direct/src/lib/adapter-directory.ts
+++ b/packages/direct/src/lib/adapter-directory.ts
@@ -2,10 +2,10 @@
  * Where adapters can be used, and who can get them loaded.
  */
 import type { Clock, Log, Ms } from '@hazelford/core'
-import { type AdapterPresence, type AdapterWant, wantKey } from '@hazelford/decisions'
-import type { EngineDesk } from './engine-desk.js'
-import type { Ask, AskOutcome } from './engine-holder.js'
-import { type DigestRow, type LoadDigest, pickDigests, readDigests, toRow } from './load-digest.js'
+import { type AdapterPresence, type RequestedAdapter, requestedAdapterKey } from '@hazelford/decisions'
+import type { EngineCoordinator } from './engine-coordinator.js'
+import type { LoadRequest, LoadRequestOutcome } from './engine-holder.js'
+import { type DigestRow, type LoadDigest, pickDigests, readDigests, toDigestRow } from './load-digest.js'
 import type { PeerClient } from './peer-client.js'
 import { PeerSuspects } from './peer-suspects.js'
 import type { PeerTable } from './peer-table.js'
@@ -21,7 +21,7 @@
 const askLimit: Ms = 400
 
 /** An adapter that a request needs. */
-export type EnsureQuery = Omit<Ask, 'answerIn' | 'entry' | 'uses' | 'outstanding' | 'streams' | 'paused' | 'heard'>
+export type EnsureQuery = Omit<LoadRequest, 'answerIn' | 'entry' | 'uses' | 'outstanding' | 'streams' | 'paused' | 'heard'>
 
 interface HeldPromise { readonly until: Ms, readonly version: number | undefined }
 
@@ -44,7 +44,7 @@
     private readonly _log: Log,
     private readonly _peers: PeerTable,
     private readonly _client: PeerClient,
-    private readonly _desk: EngineDesk,
+    private readonly _desk: EngineCoordinator,
     private readonly _upstreams: UpstreamSource
   ) {
     this._suspects = new PeerSuspects({
@@ -58,39 +58,39 @@
   stop (): void { this._suspects.stop() }
 
   /** What this entry knows of engines' loads, for another one. */
-  loadsToTell (): readonly DigestRow[] {
+  loadDigestRows (): readonly DigestRow[] {
     const own = this._desk.loads
     const held = new Set(own.map(({ upstream }) => upstream))
     const others: LoadDigest[] = []
     for (const { id, load } of this._upstreams.all()) if (load !== undefined && !held.has(id)) others.push({ upstream: id, ...load })
-    return pickDigests(own, others, Math.random).map(toRow)
+    return pickDigests(own, others, Math.random).map(toDigestRow)
   }
 
   /** Takes what another entry knows of engines' loads. */
-  noteLoads (rows: unknown): void { this._take(readDigests(rows)) }
+  applyLoadDigests (rows: unknown): void { this._take(readDigests(rows)) }
 
   private _take (digests: readonly LoadDigest[]): void {
-    for (const { upstream, age, ...load } of digests) this._upstreams.get(upstream)?.noteLoad(load, age)
+    for (const { upstream, age, ...load } of digests) this._upstreams.get(upstream)?.recordLoad(load, age)
   }
 
   /** Counts the loads of the engines that this entry holds anew. */
-  countOwnLoads (): void { this._take(this._desk.loads) }
+  refreshOwnLoads (): void { this._take(this._desk.loads) }
 
   /** What is known of an adapter at an upstream. */
-  presence (upstream: Upstream, want: AdapterWant): AdapterPresence {
+  presence (upstream: Upstream, want: RequestedAdapter): AdapterPresence {
     if (this._promised(upstream.id, want) !== undefined) return 'loaded'
-    if (this.canOrder(upstream.id)) return upstream.heldLately(wantKey(want), want.version) ? 'recent' : 'loadable'
+    if (this.canRequestLoad(upstream.id)) return upstream.wasRecentlyLoaded(requestedAdapterKey(want), want.version) ? 'recent' : 'loadable'
     return this._listed(upstream, want) ? 'loaded' : 'unavailable'
   }
 
-  private _promised (upstream: string, want: AdapterWant): HeldPromise | undefined {
-    const promise = this._promises.get(upstream)?.get(wantKey(want))
+  private _promised (upstream: string, want: RequestedAdapter): HeldPromise | undefined {
+    const promise = this._promises.get(upstream)?.get(requestedAdapterKey(want))
     if (promise === undefined || promise.until <= this._clock.now()) return undefined
     return want.version !== undefined && (promise.version ?? 0) < want.version ? undefined : promise
   }
 
   /** Whether somebody can be asked to load an adapter there. */
-  canOrder (upstream: string): boolean {
+  canRequestLoad (upstream: string): boolean {
     if (this._desk.holder(upstream) !== undefined) return true
     if ((this._notHeld.get(upstream) ?? -Infinity) > this._clock.now()) return false
     const holder = this._peers.holder(upstream)
@@ -98,7 +98,7 @@
   }
 
   /** Whether the upstream's own record lists it. Records lag, but stay through an outage of the store. */
-  private _listed ({ record }: Upstream, want: AdapterWant): boolean {
+  private _listed ({ record }: Upstream, want: RequestedAdapter): boolean {
     const model = record.models.find(held => held.model === want.model)
     if (model === undefined) return false
     if (want.adapter === undefined) return true
@@ -106,7 +106,7 @@
   }
 
   /** Forgets a promise that the upstream did not keep. */
-  broken (upstream: string, want: AdapterWant): void { this._promises.get(upstream)?.delete(wantKey(want)) }
+  broken (upstream: string, want: RequestedAdapter): void { this._promises.get(upstream)?.delete(requestedAdapterKey(want)) }
 
   forget (upstream: string): void {
     this._promises.delete(upstream)
@@ -120,8 +120,8 @@
    * @param query - the adapter, and how long it is worth waiting
    * @returns the version to expect there
    */
-  async ensure (upstream: Upstream, query: EnsureQuery): Promise<AskOutcome> {
-    if (this.canOrder(upstream.id)) return this._askHolder(upstream, query)
+  async ensure (upstream: Upstream, query: EnsureQuery): Promise<LoadRequestOutcome> {
+    if (this.canRequestLoad(upstream.id)) return this._askHolder(upstream, query)
     // Nobody can be asked: what was promised or listed last is the best there is.
     const { want, missing } = query
     const promise = this._promised(upstream.id, want)
@@ -137,37 +137,37 @@
    * An entry that falls quiet would otherwise keep its last adapters in their slots for
    * seconds after its requests have ended, and others would wait for them.
    */
-  async tellUse (upstream: Upstream): Promise<void> {
+  async reportUse (upstream: Upstream): Promise<void> {
     const { uses } = upstream
-    upstream.tell()
+    upstream.markReported()
     const local = this._desk.holder(upstream.id)
     const holder = this._peers.holder(upstream.id)
     const { outstanding } = upstream
-    if (local !== undefined) local.noteUse(this._node, uses, outstanding)
-    else if (holder !== undefined && !this._suspects.has(holder.node)) await this._client.tellUse(holder, { upstream: upstream.id, entry: this._node, uses, outstanding })
+    if (local !== undefined) local.recordUse(this._node, uses, outstanding)
+    else if (holder !== undefined && !this._suspects.has(holder.node)) await this._client.reportUse(holder, { upstream: upstream.id, entry: this._node, uses, outstanding })
   }
 
-  private async _askHolder (upstream: Upstream, query: EnsureQuery): Promise<AskOutcome> {
-    upstream.tell()
-    const ask: Ask = { ...query, answerIn: Math.min(query.patience, askLimit), entry: this._node, uses: upstream.uses, outstanding: upstream.outstanding, ...upstream.takeStreams(), heard: upstream.heard }
-    const outcome = await (this._desk.ask(upstream.id, ask) ?? this._askPeer(upstream.id, ask))
-    if (outcome.news !== undefined) upstream.noteNews(outcome.news)
-    if (outcome.kind !== 'coming' && outcome.load !== undefined) upstream.noteLoad(outcome.load, 0)
+  private async _askHolder (upstream: Upstream, query: EnsureQuery): Promise<LoadRequestOutcome> {
+    upstream.markReported()
+    const ask: LoadRequest = { ...query, answerIn: Math.min(query.patience, askLimit), entry: this._node, uses: upstream.uses, outstanding: upstream.outstanding, ...upstream.takeStreamCounts(), heard: upstream.heard }
+    const outcome = await (this._desk.requestLoad(upstream.id, ask) ?? this._askPeer(upstream.id, ask))
+    if (outcome.news !== undefined) upstream.recordRecentLoads(outcome.news)
+    if (outcome.kind !== 'coming' && outcome.load !== undefined) upstream.recordLoad(outcome.load, 0)
     if (outcome.kind === 'ready') {
       const promises = this._promises.get(upstream.id) ?? new Map<string, HeldPromise>()
-      promises.set(wantKey(query.want), { until: outcome.until, version: outcome.version })
+      promises.set(requestedAdapterKey(query.want), { until: outcome.until, version: outcome.version })
       this._promises.set(upstream.id, promises)
     }
     if (outcome.kind === 'unavailable' && outcome.cause === 'not held here') this._notHeld.set(upstream.id, this._clock.now() + notHeldLasts)
     return outcome
   }
 
-  private async _askPeer (upstream: string, ask: Ask): Promise<AskOutcome> {
+  private async _askPeer (upstream: string, ask: LoadRequest): Promise<LoadRequestOutcome> {
     const holder = this._peers.holder(upstream)
     if (holder === undefined) return { kind: 'unavailable', cause: 'nobody orders this engine' }
     try {
-      const outcome = await this._client.ask(holder, { upstream, ...ask, loads: this.loadsToTell() }, () => this._clock.now())
-      this.noteLoads(outcome.loads)
+      const outcome = await this._client.requestLoad(holder, { upstream, ...ask, loads: this.loadDigestRows() }, () => this._clock.now())
+      this.applyLoadDigests(outcome.loads)
       return outcome
     } catch (error) {
       this._log.info('loads', 'holder does not answer.', { upstream, holder: holder.node, fence: holder.fence, cause: (error as Error).message })
--- a/packages/direct/src/lib/caller-server.ts
+++ b/packages/direct/src/lib/caller-server.ts
@@ -7,7 +7,7 @@
 import { CallerAnswer } from './caller-answer.js'
 
 /** A request read whole, with the answer to write. */
-export interface Incoming {
+export interface IncomingRequest {
   readonly method: string
   readonly host: string
   readonly target: string
@@ -26,7 +26,7 @@
   readonly clock: Clock
   readonly maxBodyBytes: () => number
   readonly closing: () => boolean
-  readonly handle: (incoming: Incoming) => void
+  readonly handle: (incoming: IncomingRequest) => void
 }
 
 /** How often slow or idle connections are looked for. */
--- a/packages/direct/src/lib/config-prover.ts
+++ b/packages/direct/src/lib/config-verifier.ts
@@ -4,7 +4,7 @@
 import type { Clock, Log, Ms } from '@hazelford/core'
 
 /** What the prover needs of its entry. */
-export interface ProverOptions {
+export interface ConfigVerifierOptions {
   readonly clock: Clock
   readonly log: Log
   /** Ms after its withdrawal within which a key must open nothing any more, at any entry; 0 lets an entry go on by what it knows. */
@@ -12,7 +12,7 @@
   /** Ms since which the configuration may have changed unheard. */
   readonly viewAge: () => Ms
   /** Asks the store and some peers at once; each promise ends when its answer, if one came, is in force. */
-  readonly ask: () => readonly Promise<void>[]
+  readonly query: () => readonly Promise<void>[]
 }
 
 /** Clocks of hosts differ in pace, and timers are late. */
@@ -31,14 +31,14 @@
  * A key may have been withdrawn while this entry was frozen, cut off or turned away by the store. It can't notice, since
  * nothing tells it; only an answer to a question that it sent lately can tell that nothing was missed.
  */
-export class ConfigProver {
+export class ConfigVerifier {
   private _asking: Promise<boolean> | undefined
   private _askAt: Ms = -Infinity
 
-  constructor (private readonly _options: ProverOptions) {}
+  constructor (private readonly _options: ConfigVerifierOptions) {}
 
   /** Whether callers may be let in now. */
-  get isProven (): boolean {
+  get isFresh (): boolean {
     const { withdrawWithin, viewAge } = this._options
     const bound = withdrawWithin()
     return bound === 0 || viewAge() < bound - safety
@@ -49,7 +49,7 @@
     const { withdrawWithin, viewAge, log } = this._options
     const bound = withdrawWithin()
     if (bound === 0 || viewAge() < bound * aheadShare) return
-    this.prove().catch((error: Error) => log.warn('config', 'not proved.', { error: error.message }))
+    this.verify().catch((error: Error) => log.warn('config', 'not proved.', { error: error.message }))
   }
 
   /**
@@ -57,9 +57,9 @@
    *
    * @returns whether the configuration is proven now
    */
-  prove (): Promise<boolean> {
+  verify (): Promise<boolean> {
     if (this._asking !== undefined) return this._asking
-    if (this._options.clock.now() < this._askAt) return Promise.resolve(this.isProven)
+    if (this._options.clock.now() < this._askAt) return Promise.resolve(this.isFresh)
     this._asking = this._ask().finally(() => { this._asking = undefined })
     return this._asking
   }
@@ -72,18 +72,18 @@
       this._askAt = clock.now() + againAfter
       log.info('config', 'neither store nor peers prove it.', { age: Math.round(viewAge()) })
     }
-    return this.isProven
+    return this.isFresh
   }
 
   /** Waits until an answer has proved something, or all have come, or the time is over. */
   private _firstAnswer (isYounger: () => boolean): Promise<boolean> {
     return new Promise(resolve => {
       const cancel = this._options.clock.after(answerWithin, () => resolve(isYounger()))
-      const questions = this._options.ask()
+      const questions = this._options.query()
       let open = questions.length
       const answered = (): void => {
         open--
-        if (open > 0 && !(isYounger() && this.isProven)) return
+        if (open > 0 && !(isYounger() && this.isFresh)) return
         cancel()
         resolve(isYounger())
       }
--- a/packages/direct/src/lib/connection-pool.ts
+++ b/packages/direct/src/lib/connection-pool.ts
@@ -56,7 +56,7 @@
   }
 
   /** Notes how long the upstream keeps idle connections, in whole seconds. */
-  announceIdle (seconds: number): void {
+  setIdleTimeout (seconds: number): void {
     if (Number.isFinite(seconds) && seconds > 0) this._idleLimit = Math.max(0, seconds * 1_000 - idleMargin)
   }
 
--- a/packages/direct/src/lib/usage-line.ts
+++ b/packages/direct/src/lib/credit-queue.ts
@@ -11,7 +11,7 @@
   | { readonly kind: 'over-limit', readonly retryAfter: Ms }
 
 /** What a line needs. */
-export interface UsageLineOptions {
+export interface CreditQueueOptions {
   readonly clock: Clock
   readonly log: Log
   /** Name of the entry. */
@@ -21,7 +21,7 @@
   /** Whether anything is limited. */
   readonly isNeeded: () => boolean
   /** Whether requests wait for credit that comes soon; else they are refused once the keeper has said that it has none. */
-  readonly isPatient: boolean
+  readonly waitsForCredit: boolean
   /** Reports to whoever counts; rejects for a fault of this entry only. */
   readonly report: (report: UsageReport) => Promise<readonly UsageGrant[]>
 }
@@ -46,7 +46,7 @@
 const retrySpread = 0.5
 
 /** Credit of some accounts at one entry. One report is under way at a time. */
-export class UsageLine {
+export class CreditQueue {
   private readonly _pools = new Map<string, UsagePool>()
   private _waiting: Waiter[] = []
   private _reporting = false
@@ -56,7 +56,7 @@
   private _stopped = false
   private _cancel: CancelTimer = () => {}
 
-  constructor (private readonly _options: UsageLineOptions) {
+  constructor (private readonly _options: CreditQueueOptions) {
     this._reportedAt = _options.startedAt
     this._schedule()
   }
@@ -80,13 +80,13 @@
     const pool = this._pool(account)
     pool.count(cost, at.now)
     const isFirst = !this._waiting.some(waiter => waiter.account === account)
-    const spending = isFirst ? pool.spend(cost, at) : pool.outlook(at.now)
+    const spending = isFirst ? pool.spend(cost, at) : pool.expectedAvailability(at.now)
     switch (spending.kind) {
       case 'spent':
         if (pool.isLow(at)) this._reportSoon()
         return this._admitted(pool, cost)
       case 'closed': return this._refused(spending.retryAfter)
-      case 'held': return this._options.isPatient ? this._wait(account, cost) : this._refused(spending.retryAfter)
+      case 'held': return this._options.waitsForCredit ? this._wait(account, cost) : this._refused(spending.retryAfter)
       case 'short': {
         const admission = this._wait(account, cost)
         this._report()
@@ -181,7 +181,7 @@
   /** Those who came meanwhile are not in the report; those who are held are asked for anew in a while. */
   private _reportAgain (): void {
     const { clock } = this._options
-    if (this._waiting.some(({ account }) => this._pool(account).outlook(clock.now()).kind === 'short')) this._report()
+    if (this._waiting.some(({ account }) => this._pool(account).expectedAvailability(clock.now()).kind === 'short')) this._report()
     else if (this._waiting.length > 0 && !this._isDue) {
       this._isDue = true
       clock.after(heldPause, () => {
@@ -193,7 +193,7 @@
 
   private _take (grants: readonly UsageGrant[], sent: Instant, told: readonly Waiter[]): void {
     const at = this._instant
-    for (const grant of grants) this._pool(grant.account).take(grant, sent, at)
+    for (const grant of grants) this._pool(grant.account).applyGrant(grant, sent, at)
     const answered = new Set(told)
     this._waiting = this._waiting.filter(waiter => !answered.has(waiter) || !this._decide(waiter, at))
   }
@@ -207,7 +207,7 @@
         decide(this._admitted(pool, cost))
         return true
       case 'held':
-        if (this._options.isPatient) return false
+        if (this._options.waitsForCredit) return false
         decide(this._refused(spending.retryAfter))
         return true
       case 'closed':
--- a/packages/direct/src/lib/config-holder.ts
+++ b/packages/direct/src/lib/current-config.ts
@@ -15,7 +15,7 @@
 function versionKey (model: string, adapter: string): string { return `${model}/${adapter}` }
 
 /** Takes what operators write; never goes back. */
-export class ConfigHolder {
+export class CurrentConfig {
   private _table: RouteTable | undefined
   private readonly _declared = new Map<string, AdapterVersion>()
 
@@ -48,7 +48,7 @@
       this._log.warn('config', 'configuration can not be read, the last one stays in force.', { revision, problem: decoded.error.message, inForce: this._table?.version })
       return
     }
-    this.offer(decoded.value)
+    this.applyIfNewer(decoded.value)
   }
 
   /**
@@ -57,7 +57,7 @@
    * A read that was answered late, or a peer that lags, may bring an older version after a
    * newer one. Requests would then be routed as operators no longer want.
    */
-  offer (config: RouteConfig): void {
+  applyIfNewer (config: RouteConfig): void {
     if (this._table !== undefined && config.version <= this._table.version) return
     const before = this._table?.version
     this._table = new RouteTable(config)
--- a/packages/direct/src/lib/direct-entry.ts
+++ b/packages/direct/src/lib/direct-entry.ts
@@ -7,29 +7,29 @@
 import type { QuarantineLimits, RouteTable, SharedBudgetLimits, UsageBounds } from '@hazelford/decisions'
 import { AdapterDirectory } from './adapter-directory.js'
 import { CallerServer, createReadyServer } from './caller-server.js'
-import type { ConfigHolder } from './config-holder.js'
-import { ConfigProver } from './config-prover.js'
+import type { CurrentConfig } from './current-config.js'
+import { ConfigVerifier } from './config-verifier.js'
 import { probeConnection } from './connection-probe.js'
-import { EngineDesk } from './engine-desk.js'
-import type { AskOutcome } from './engine-holder.js'
+import { EngineCoordinator } from './engine-coordinator.js'
+import type { LoadRequestOutcome } from './engine-holder.js'
 import { addressSettings, type DirectSettings, pickAddresses, splitAddress } from './entry-settings.js'
-import { LeaseKeeper } from './lease-keeper.js'
+import { LeaseRenewer } from './lease-renewer.js'
 import type { Membership } from './membership.js'
 import type { EntryMetrics } from './metrics.js'
-import { NoticeDesk } from './notice-desk.js'
-import { grantUntold, usageLimits, usageOf } from './organisation-usage.js'
+import { NoticeCoordinator } from './notice-coordinator.js'
+import { grantInFull, usageLimits, usageOf } from './organisation-usage.js'
 import { PeerClient } from './peer-client.js'
-import type { AskMessage, PeerAskOutcome } from './peer-messages.js'
+import type { LoadRequestMessage, PeerLoadRequestOutcome } from './peer-messages.js'
 import { entryKey, type PeerTable } from './peer-table.js'
 import { Placer } from './placer.js'
 import type { PlatformPort } from './platform-port.js'
-import { QuarantineDesk } from './quarantine-desk.js'
+import { QuarantineCoordinator } from './quarantine-coordinator.js'
 import { RelayRunner } from './relay-runner.js'
 import { RequestIntake } from './request-intake.js'
 import { type PeerService, servePeers } from './serve-peers.js'
 import { StoreView } from './store-view.js'
 import type { Upstream } from './upstream.js'
-import { UsageDesk } from './usage-desk.js'
+import { UsageCoordinator } from './usage-coordinator.js'
 
 /** What an entry is built from. */
 export interface DirectEntryOptions {
@@ -81,18 +81,18 @@
 
 /** One entry. */
 export class DirectEntry {
-  readonly desk: EngineDesk
+  readonly engineCoordinator: EngineCoordinator
   private readonly _view: StoreView
   private readonly _directory: AdapterDirectory
   private readonly _placer: Placer
-  private readonly _lease: LeaseKeeper
+  private readonly _lease: LeaseRenewer
   private readonly _client = new PeerClient()
   private readonly _runner: RelayRunner
   private readonly _intake: RequestIntake
   private readonly _callers: CallerServer
-  private readonly _quarantine: QuarantineDesk
-  private readonly _usage: UsageDesk
-  private readonly _notices: NoticeDesk
+  private readonly _quarantine: QuarantineCoordinator
+  private readonly _usage: UsageCoordinator
+  private readonly _notices: NoticeCoordinator
   private readonly _servers: Server[] = []
   private readonly _self: { readonly node: string, readonly host: string, readonly zone: string, port: number }
   private _settings: DirectSettings
@@ -106,7 +106,7 @@
     const { settings, platform, clock, log } = _options
     this._settings = settings
     this._self = { node: settings.name, host: settings.host, port: settings.peer_port, zone: settings.zone }
-    this._quarantine = new QuarantineDesk({
+    this._quarantine = new QuarantineCoordinator({
       node: settings.name,
       clock,
       log,
@@ -118,7 +118,7 @@
       held: fingerprint => this._hold(fingerprint)
     })
     this._usage = this._createUsageDesk()
-    this._notices = new NoticeDesk({
+    this._notices = new NoticeCoordinator({
       node: settings.name,
       clock,
       log,
@@ -126,8 +126,8 @@
       client: this._client,
       entries: () => this.peers.entries,
       entryCount: () => this.peers.entryCount,
-      leaves: upstream => this._upstreamLeaves(upstream),
-      rests: ({ id }) => this.desk.holder(id)?.rests(),
+      leavingAnnounced: upstream => this._upstreamLeaves(upstream),
+      backoffRequested: ({ id }) => this.engineCoordinator.holder(id)?.startBackoff(),
       upstreams: { all: () => this.members.all(), get: id => this.members.get(id) }
     })
     this._view = new StoreView({
@@ -140,16 +140,16 @@
       heldRequests: () => this._quarantine.held
     }, {
       configured: table => this._configured(table),
-      declared: version => this.desk.prefetch(version),
+      declared: version => this.engineCoordinator.prefetch(version),
       connections: service => this._connections(service),
       requestEnded: upstream => this._requestEnded(upstream),
       gone: upstream => this._upstreamGone(upstream),
-      heldInStore: key => this._quarantine.stored(key),
-      heldByPeer: requests => this._quarantine.heardHeld({ requests }),
-      restarted: upstream => this.desk.restarted(upstream),
-      changed: () => this.desk.review()
+      quarantinedInStore: key => this._quarantine.stored(key),
+      quarantinedByPeer: requests => this._quarantine.receiveQuarantined({ requests }),
+      restarted: upstream => this.engineCoordinator.restarted(upstream),
+      changed: () => this.engineCoordinator.scheduleReconcile()
     })
-    this.desk = new EngineDesk({
+    this.engineCoordinator = new EngineCoordinator({
       self: this._self,
       store: platform.store,
       clock,
@@ -157,18 +157,18 @@
       peers: this.peers,
       upstreams: () => this.members.all(),
       engineSpec: service => this.config.table?.service(service)?.engine,
-      control: upstream => platform.control(upstream.record, (notice, took) => this._notices.take(upstream, notice, took)),
-      tellTaken: (former, msg) => this._client.tellTaken(former, msg),
+      control: upstream => platform.control(upstream.record, (notice, took) => this._notices.applyNotice(upstream, notice, took)),
+      notifyTakeover: (former, msg) => this._client.notifyTakeover(former, msg),
       loaded: took => _options.metrics.loadStall.observe(took),
-      stay: service => this._placer.stay(service),
+      serviceTime: service => this._placer.serviceTime(service),
       holderTurn: settings.holder_turn_ms,
       ...(_options.settleTime === undefined ? {} : { settleTime: _options.settleTime })
     }, () => this._lease)
-    this._lease = new LeaseKeeper(platform.store, clock, log, {
+    this._lease = new LeaseRenewer(platform.store, clock, log, {
       granted: lease => { this._register(lease).catch((error: Error) => log.warn('peers', 'not registered.', { error: error.message })) },
-      ended: () => this.desk.dropAll()
+      ended: () => this.engineCoordinator.releaseAll()
     })
-    this._directory = new AdapterDirectory(settings.name, clock, log, this.peers, this._client, this.desk, this.members)
+    this._directory = new AdapterDirectory(settings.name, clock, log, this.peers, this._client, this.engineCoordinator, this.members)
     this._placer = new Placer({
       clock,
       log,
@@ -185,23 +185,23 @@
       clock,
       maxBodyBytes: () => this.config.table?.config.limits.maxBodyBytes ?? defaultMaxBody,
       closing: () => this._lastAnswer,
-      handle: incoming => this._intake.take(incoming)
+      handle: incoming => this._intake.handle(incoming)
     })
   }
 
-  private _createUsageDesk (): UsageDesk {
+  private _createUsageDesk (): UsageCoordinator {
     const { clock, log, settings } = this._options
-    return new UsageDesk({
+    return new UsageCoordinator({
       node: settings.name,
       kind: 'usage',
       clock,
       log,
       bounds: () => usageBounds(this._settings),
-      isPatient: true,
+      waitsForCredit: true,
       entries: () => this.peers.entries,
       entryCount: () => this.peers.entryCount,
       limits: () => usageLimits(this.config.table?.organisations ?? []),
-      untold: grantUntold,
+      defaultGrant: grantInFull,
       report: (peer, msg) => this._client.reportUsage(peer, msg),
       ping: peer => this._client.ping(peer)
     })
@@ -234,7 +234,7 @@
       codec: platform.codec,
       table: () => this._view.known ? this.config.table : undefined,
       refusing: () => this._refusing,
-      prover: new ConfigProver({ clock, log, withdrawWithin: () => this._settings.withdraw_within_ms, viewAge, ask: () => this._view.askConfig() }),
+      verifier: new ConfigVerifier({ clock, log, withdrawWithin: () => this._settings.withdraw_within_ms, viewAge, query: () => this._view.queryConfig() }),
       viewAge,
       applyWithin: () => this._settings.apply_within_ms,
       admit: ({ name, limit }, tokens) => limit === undefined ? { kind: 'admitted', refund: () => {} } : this._usage.admit(name, usageOf(limit, tokens)),
@@ -243,7 +243,7 @@
   }
 
   get name (): string { return this._self.node }
-  get config (): ConfigHolder { return this._view.config }
+  get config (): CurrentConfig { return this._view.config }
   get members (): Membership { return this._view.members }
   get peers (): PeerTable { return this._view.peers }
 
@@ -259,7 +259,7 @@
     this._options.metrics.configVersion.set(table.version)
     this._usage.limitsChanged()
     this._callers.limit(table.config.limits)
-    this.desk.review()
+    this.engineCoordinator.scheduleReconcile()
   }
 
   private async _register (lease: number): Promise<void> {
@@ -281,7 +281,7 @@
   reconfigure (settings: DirectSettings): readonly string[] {
     const before = this._settings
     this._settings = { ...settings, ...pickAddresses(before) }
-    this._runner.limitRepeats(budgetLimits(settings))
+    this._runner.updateRetryLimits(budgetLimits(settings))
     this._quarantine.limit(quarantineLimits(settings))
     return addressSettings.filter(name => settings[name] !== before[name])
   }
@@ -321,27 +321,27 @@
 
   private _peerService (): PeerService {
     return {
-      ask: msg => this._answerPeer(msg),
-      noteUse: ({ upstream, entry, uses, outstanding }) => this.desk.holder(upstream)?.noteUse(entry, uses, outstanding),
-      taken: msg => this.desk.taken(msg),
-      heardEnds: msg => this._quarantine.heardEnds(msg),
-      heardHeld: msg => this._quarantine.heardHeld(msg),
-      answered: query => this._quarantine.answeredOf(query),
+      requestLoad: msg => this._answerPeer(msg),
+      recordUse: ({ upstream, entry, uses, outstanding }) => this.engineCoordinator.holder(upstream)?.recordUse(entry, uses, outstanding),
+      receiveTakeover: msg => this.engineCoordinator.receiveTakeover(msg),
+      receiveTerminations: msg => this._quarantine.receiveTerminations(msg),
+      receiveQuarantined: msg => this._quarantine.receiveQuarantined(msg),
+      answered: query => this._quarantine.recentlyAnswered(query),
       now: () => this._options.clock.now(),
       changes: (after, wait) => this._view.changes(after, wait),
       state: () => this._view.state,
       configAge: () => this._view.configAge,
       reportUsage: msg => this._usage.report(msg),
       reportLimits: msg => this._notices.report(msg),
-      heardNotices: msg => this._notices.heard(msg)
+      receiveNotices: msg => this._notices.heard(msg)
     }
   }
 
   /** Tells the holder of an engine, soon, that a request of this entry there has ended. */
   private _requestEnded (upstream: Upstream): void {
     this._options.clock.after(tellFreedAfter, () => {
-      if (this._stopped || !upstream.owesWord) return
-      this._directory.tellUse(upstream).catch((error: Error) => {
+      if (this._stopped || !upstream.hasUnreportedUse) return
+      this._directory.reportUse(upstream).catch((error: Error) => {
         this._options.log.info('loads', 'use not told.', { upstream: upstream.id, cause: error.message })
       })
     })
@@ -354,8 +354,8 @@
   }
 
   private _upstreamLeaves (upstream: Upstream): void {
-    this.members.leaves(upstream)
-    this.desk.review()
+    this.members.markLeaving(upstream)
+    this.engineCoordinator.scheduleReconcile()
   }
 
   /** Ends what this entry has open of a request that is held back from now on. */
@@ -364,10 +364,10 @@
     this._runner.hold(fingerprint)
   }
 
-  private async _answerPeer ({ upstream, loads, ...ask }: AskMessage): Promise<PeerAskOutcome> {
-    this._directory.noteLoads(loads)
-    const outcome: AskOutcome = await this.desk.ask(upstream, ask) ?? { kind: 'unavailable', cause: 'not held here' }
-    return { ...outcome, loads: this._directory.loadsToTell() }
+  private async _answerPeer ({ upstream, loads, ...ask }: LoadRequestMessage): Promise<PeerLoadRequestOutcome> {
+    this._directory.applyLoadDigests(loads)
+    const outcome: LoadRequestOutcome = await this.engineCoordinator.requestLoad(upstream, ask) ?? { kind: 'unavailable', cause: 'not held here' }
+    return { ...outcome, loads: this._directory.loadDigestRows() }
   }
 
   /** Leaves without cutting off a request. */
@@ -403,7 +403,7 @@
     this._notices.stop()
     this._directory.stop()
     this._view.stop()
-    this.desk.stop()
+    this.engineCoordinator.stop()
     for (const server of this._servers) {
       server.close()
       server.closeAllConnections()
--- a/packages/direct/src/lib/engine-admission.ts
+++ b/packages/direct/src/lib/engine-admission.ts
@@ -2,7 +2,7 @@
  * Admission control of one engine: a request is let in when there is a place in the batch and its prompt can be read.
  */
 import type { CancelTimer, Clock, Ms } from '@hazelford/core'
-import { EnginePlaces, PromptPacer } from '@hazelford/decisions'
+import { BatchSlots, PromptThrottle } from '@hazelford/decisions'
 
 /** What is known of an engine's load. */
 export interface EngineLoad {
@@ -13,7 +13,7 @@
 }
 
 /** A request that wants to be let in. */
-export interface AdmissionTicket {
+export interface AdmissionRequest {
   readonly entry: string
   readonly request: string
   readonly tokens: number
@@ -30,8 +30,8 @@
 
 /** Queue of one engine, by due time and urgency. */
 export class EngineAdmission {
-  private readonly _pacer = new PromptPacer()
-  private readonly _places: EnginePlaces
+  private readonly _pacer = new PromptThrottle()
+  private readonly _places: BatchSlots
   /** Lets a request of the queue in, by its id there. */
   private readonly _waiting = new Map<string, () => void>()
   private _timer: CancelTimer | undefined
@@ -41,7 +41,7 @@
    * @param _stay - ms that a request stays in its place, as measured; 0 when unknown
    */
   constructor (private readonly _clock: Clock, slots: number, private readonly _stay: () => Ms) {
-    this._places = new EnginePlaces(slots)
+    this._places = new BatchSlots(slots)
   }
 
   get load (): EngineLoad {
@@ -53,7 +53,7 @@
   get queued (): number { return this._pacer.waiting }
 
   /** Expected wait of one more request for a place in the batch. */
-  get placeWait (): Ms { return this._places.expectedWait(this._pacer.waiting, this._stay(), this._clock.now()) }
+  get slotWait (): Ms { return this._places.expectedWait(this._pacer.waiting, this._stay(), this._clock.now()) }
 
   /** Takes an entry's word on its open requests there. */
   note (entry: string, requests: number): void {
@@ -62,7 +62,7 @@
   }
 
   /** Takes an entry's word on streams that ended there, and how many of them paused for too long. */
-  learn (streams: number, paused: number): void { this._pacer.learn(streams, paused) }
+  recordStreams (streams: number, paused: number): void { this._pacer.adjustSpeed(streams, paused) }
 
   /**
    * Waits until a request can be let in.
@@ -70,10 +70,10 @@
    * @param answerIn - ms after which the wait is given up
    * @returns whether it was let in
    */
-  admit ({ entry, request, tokens, urgency, dueIn }: AdmissionTicket, answerIn: Ms): Promise<boolean> {
+  admit ({ entry, request, tokens, urgency, dueIn }: AdmissionRequest, answerIn: Ms): Promise<boolean> {
     const id = `${entry} ${request}`
     const now = this._clock.now()
-    this._pacer.offer({ id, tokens, urgency, dueAt: now + dueIn }, now)
+    this._pacer.enqueue({ id, tokens, urgency, dueAt: now + dueIn }, now)
     return new Promise(resolve => {
       const cancel = this._clock.after(answerIn, () => {
         this._waiting.delete(id)
@@ -93,7 +93,7 @@
   private _open (): void {
     const now = this._clock.now()
     for (const id of this._pacer.admit(now, this._places.free(now))) this._waiting.get(id)?.()
-    const next = this._pacer.nextAt(now)
+    const next = this._pacer.nextAdmissionAt(now)
     if (next === undefined || this._timer !== undefined) return
     // Who comes meanwhile may raise the rate, so that the next can be let in sooner.
     const pause = this._places.free(now) > 0 ? Math.min(longestWait, Math.max(1, next - now)) : longestFullWait
--- a/packages/direct/src/lib/engine-desk.ts
+++ b/packages/direct/src/lib/engine-coordinator.ts
@@ -2,17 +2,17 @@
  * Claims engines in the store and orders those that this entry holds.
  */
 import type { CancelTimer, Clock, Log, Ms } from '@hazelford/core'
-import { type AdapterWant, claimOrders, type EngineShares, FormerHolds, pickHandover } from '@hazelford/decisions'
+import { type RequestedAdapter, claimSequences, type EngineAssignment, ReclaimCooldown, pickHandover } from '@hazelford/decisions'
 import type { EngineControl, EngineSpec, Store } from '@hazelford/ports'
-import { type Ask, type AskOutcome, EngineHolder } from './engine-holder.js'
-import type { LeaseKeeper } from './lease-keeper.js'
+import { type LoadRequest, type LoadRequestOutcome, EngineHolder } from './engine-holder.js'
+import type { LeaseRenewer } from './lease-renewer.js'
 import type { LoadDigest } from './load-digest.js'
-import type { TakenMessage } from './peer-messages.js'
+import type { TakeoverMessage } from './peer-messages.js'
 import type { Upstream } from './upstream.js'
 import { holderKey, type PeerAddress, type PeerTable } from './peer-table.js'
 
 /** What the desk needs of its entry. */
-export interface DeskOptions {
+export interface EngineCoordinatorOptions {
   readonly self: PeerAddress
   readonly store: Store
   readonly clock: Clock
@@ -23,9 +23,9 @@
   readonly control: (upstream: Upstream) => EngineControl
   readonly loaded: (took: Ms) => void
   /** Ms that a request of a service stays in its place, as measured; 0 when unknown. */
-  readonly stay: (service: string) => Ms
+  readonly serviceTime: (service: string) => Ms
   /** Tells the former holder of an engine that it has a new one. */
-  readonly tellTaken: (former: PeerAddress, msg: TakenMessage) => Promise<void>
+  readonly notifyTakeover: (former: PeerAddress, msg: TakeoverMessage) => Promise<void>
   /** Ms within which two holders must not order one engine in turn. */
   readonly holderTurn: Ms
   /** Ms after the start before the first claim. */
@@ -53,12 +53,12 @@
 const claimsAtOnce = 16
 
 /** The engines this entry orders. */
-export class EngineDesk {
+export class EngineCoordinator {
   private readonly _holders = new Map<string, EngineHolder>()
   /** Engines without a holder, and since when. */
   private readonly _free = new Map<string, Ms>()
   private readonly _startedAt: Ms
-  private readonly _formerHolds: FormerHolds
+  private readonly _formerHolds: ReclaimCooldown
   private readonly _handoverAfter: Ms
   private readonly _settleTime: Ms
   /** Entries listed, and since when. */
@@ -71,10 +71,10 @@
   private _timer: CancelTimer | undefined
   private _stopped = false
 
-  constructor (private readonly _options: DeskOptions, private readonly _lease: () => LeaseKeeper) {
+  constructor (private readonly _options: EngineCoordinatorOptions, private readonly _lease: () => LeaseRenewer) {
     this._startedAt = _options.clock.now()
     const { holderTurn, settleTime } = _options
-    this._formerHolds = new FormerHolds(holderTurn)
+    this._formerHolds = new ReclaimCooldown(holderTurn)
     this._handoverAfter = holderTurn + handoverMargin
     this._settleTime = settleTime ?? defaultSettleTime
   }
@@ -85,24 +85,24 @@
   get loads (): readonly LoadDigest[] { return [...this._holders].map(([upstream, { load }]) => ({ upstream, age: 0, ...load })) }
 
   /** Asks a holder of this entry; undefined when it doesn't hold the engine. */
-  ask (upstream: string, ask: Ask): Promise<AskOutcome> | undefined { return this._holders.get(upstream)?.ask(ask) }
+  requestLoad (upstream: string, ask: LoadRequest): Promise<LoadRequestOutcome> | undefined { return this._holders.get(upstream)?.requestLoad(ask) }
 
   /** Loads a new version wherever an older one is held here. */
-  prefetch (want: AdapterWant): void {
+  prefetch (want: RequestedAdapter): void {
     for (const holder of this._holders.values()) {
       if (want.adapter !== undefined && holder.holds(want.model, want.adapter)) holder.prefetch(want)
     }
   }
 
   /** The lease ended: somebody else may order from now on. */
-  dropAll (): void {
+  releaseAll (): void {
     for (const [id, holder] of this._holders) this._drop(id, holder)
   }
 
   /** Claims and orders nothing from here on, though its keys may stand in the store for a while. */
   stop (): void {
     this._stopped = true
-    this.dropAll()
+    this.releaseAll()
   }
 
   /** An engine has started again under its id: it holds nothing and counts orders anew. */
@@ -111,7 +111,7 @@
   }
 
   /** Looks at what changed in the store, soon. */
-  review (): void {
+  scheduleReconcile (): void {
     if (this._timer !== undefined) return
     this._timer = this._options.clock.after(20, () => {
       this._timer = undefined
@@ -126,7 +126,7 @@
     this._noteEntries(now)
     const claims = this._claimable(now)
     if (claims.length > 0) this._claim(claims).catch((error: Error) => this._options.log.warn('loads', 'claim failed.', { error: error.message }))
-    if (this._free.size > 0) this._options.clock.after(claimStep / 2, () => this.review())
+    if (this._free.size > 0) this._options.clock.after(claimStep / 2, () => this.scheduleReconcile())
     else this._considerHandover(now)
   }
 
@@ -137,7 +137,7 @@
   }
 
   /** Entries that have been listed long enough to be given engines, and who holds what. */
-  private _settledShares (now: Ms): EngineShares {
+  private _settledShares (now: Ms): EngineAssignment {
     const entries = [...this._listed].filter(([, since]) => now - since >= this._handoverAfter).map(([node]) => node)
     return { entries, holders: this._knownHolders() }
   }
@@ -152,7 +152,7 @@
     if (this._handing || this._claiming || now - this._handedAt < handoverPause || !this._lease().valid) return
     const handover = pickHandover(this._options.self.node, this._settledShares(now), engine => {
       const holder = this._holders.get(engine)
-      return holder !== undefined && now - holder.since >= this._handoverAfter
+      return holder !== undefined && now - holder.heldSince >= this._handoverAfter
     })
     if (handover === undefined) return
     this._handing = true
@@ -161,7 +161,7 @@
       .finally(() => {
         this._handing = false
         this._handedAt = this._options.clock.now()
-        this._options.clock.after(handoverPause, () => this.review())
+        this._options.clock.after(handoverPause, () => this.scheduleReconcile())
       })
   }
 
@@ -195,9 +195,9 @@
     const { peers, self, clock } = this._options
     const claimable: Upstream[] = []
     const seen = new Set<string>()
-    const orders = claimOrders(this._unheld().map(({ id }) => id), { entries: peers.nodes, holders: this._knownHolders() })
+    const orders = claimSequences(this._unheld().map(({ id }) => id), { entries: peers.nodes, holders: this._knownHolders() })
     const settling = clock.now() - this._startedAt < this._settleTime
-    if (settling || !this._lease().valid) this._options.clock.after(this._settleTime / 3, () => this.review())
+    if (settling || !this._lease().valid) this._options.clock.after(this._settleTime / 3, () => this.scheduleReconcile())
     if (!this._lease().valid) return []
     for (const upstream of this._engines()) {
       if (this._holders.has(upstream.id)) continue
@@ -209,7 +209,7 @@
       const since = this._free.get(upstream.id) ?? now
       this._free.set(upstream.id, since)
       const rank = orders.get(upstream.id)?.indexOf(self.node) ?? -1
-      const mayReturn = peers.former(upstream.id)?.node === self.node || this._formerHolds.mayReturn(upstream.id, now)
+      const mayReturn = peers.former(upstream.id)?.node === self.node || this._formerHolds.mayReclaim(upstream.id, now)
       if (ours || (!settling && mayReturn && rank >= 0 && now - since >= rank * claimStep)) claimable.push(upstream)
     }
     for (const id of this._free.keys()) if (!seen.has(id)) this._free.delete(id)
@@ -248,7 +248,7 @@
       log.info('loads', 'claim lost.', { upstreams: upstreams.map(({ id }) => id), outcome: outcome.value.kind })
     }
     this._claiming = false
-    this.review()
+    this.scheduleReconcile()
   }
 
   /**
@@ -259,7 +259,7 @@
    * engines that don't check it both hold. It can't hear the store, but mostly it hears us.
    */
   private async _tellFormer (upstream: string, fence: number): Promise<void> {
-    const { peers, self, log, tellTaken } = this._options
+    const { peers, self, log, notifyTakeover: tellTaken } = this._options
     const former = peers.former(upstream)
     if (former === undefined || former.node === self.node) return
     await tellTaken(former, { upstream, fence }).catch((error: Error) => {
@@ -268,7 +268,7 @@
   }
 
   /** Stops ordering an engine that another entry has claimed since. */
-  taken ({ upstream, fence }: TakenMessage): void {
+  receiveTakeover ({ upstream, fence }: TakeoverMessage): void {
     const holder = this._holders.get(upstream)
     if (holder === undefined || holder.fence >= fence) return
     this._release(upstream, holder, 'held by another', fence)
@@ -287,7 +287,7 @@
   }
 
   private _hold (upstream: Upstream, fence: number): void {
-    const { clock, log, self, control, engineSpec, stay, loaded } = this._options
+    const { clock, log, self, control, engineSpec, serviceTime: stay, loaded } = this._options
     const spec = engineSpec(upstream.record.service)
     if (spec === undefined) return
     this._free.delete(upstream.id)
@@ -303,8 +303,8 @@
       clock,
       log,
       mayOrder: () => this._lease().valid,
-      restsUntil: () => upstream.notices.restsUntil,
-      stay: () => stay(upstream.record.service),
+      backoffUntil: () => upstream.notices.backoffUntil,
+      serviceTime: () => stay(upstream.record.service),
       loaded
     }))
     log.info('loads', 'engine held.', { upstream: upstream.id, fence })
--- a/packages/direct/src/lib/engine-holder.ts
+++ b/packages/direct/src/lib/engine-holder.ts
@@ -2,11 +2,11 @@
  * Orders one engine, while this entry holds it.
  */
 import { type Clock, type Log, type Ms, sleep } from '@hazelford/core'
-import { AdapterPlan, type AdapterWant, type PlanAction, type Readiness, wantKey } from '@hazelford/decisions'
-import { compareStarts, type EngineControl, type EngineSpec, type LoadTarget, type OrderOutcome } from '@hazelford/ports'
+import { AdapterPlan, type RequestedAdapter, type PlanAction, type Readiness, requestedAdapterKey } from '@hazelford/decisions'
+import { compareStartTimes, type EngineControl, type EngineSpec, type LoadTarget, type EngineOrderOutcome } from '@hazelford/ports'
 import { EngineAdmission, type EngineLoad } from './engine-admission.js'
 import { LivenessProbe } from './liveness-probe.js'
-import { LoadNews, type News } from './load-news.js'
+import { RecentLoads, type RecentLoadsUpdate } from './recent-loads.js'
 
 /** Why an adapter can't be had at an engine now. */
 export type UnavailableCause =
@@ -24,7 +24,7 @@
   | 'nobody orders this engine'
 
 /** What a holder says to an ask: it can be used, it will be, or it can't be had here now. */
-export type AskOutcome = AskAnswer & { readonly news?: News }
+export type LoadRequestOutcome = AskAnswer & { readonly news?: RecentLoadsUpdate }
 
 type AskAnswer =
   /** `atDoor`: Ms of this ask that the prompt waited to be let in, after its adapter was there. */
@@ -34,8 +34,8 @@
   | { readonly kind: 'unavailable', readonly cause: UnavailableCause, readonly line?: number, readonly load?: EngineLoad }
 
 /** What an entry asks of a holder. */
-export interface Ask {
-  readonly want: AdapterWant
+export interface LoadRequest {
+  readonly want: RequestedAdapter
   /** 0 is the most urgent. */
   readonly urgency: number
   /** Ms that the request can still wait, beyond this call too. */
@@ -59,7 +59,7 @@
   /** Streams that ended there since its last word, and how many of them paused longer than is on time. */
   readonly streams: number
   readonly paused: number
-  /** What it has heard of the engine's loads; see {@link LoadNews}. */
+  /** What it has heard of the engine's loads; see {@link RecentLoads}. */
   readonly heard: number
 }
 
@@ -67,7 +67,7 @@
 const longestPlaceWait: Ms = 250
 
 /** What a holder needs. */
-export interface HolderOptions {
+export interface EngineHolderOptions {
   readonly upstream: string
   readonly node: string
   readonly fence: number
@@ -80,14 +80,14 @@
   /** Whether the lease on the engine surely holds. */
   readonly mayOrder: () => boolean
   /** Until when the engine wants nothing from this entry. */
-  readonly restsUntil: () => Ms
+  readonly backoffUntil: () => Ms
   /** Ms that a request stays in its place, as measured; 0 when unknown. */
-  readonly stay: () => Ms
+  readonly serviceTime: () => Ms
   readonly loaded: (took: Ms) => void
 }
 
 interface Waiter {
-  readonly want: AdapterWant
+  readonly want: RequestedAdapter
   readonly since: Ms
   readonly resolve: (answer: AskAnswer) => void
   cancel: () => void
@@ -105,9 +105,9 @@
 /** Runs an {@link AdapterPlan} against its engine. */
 export class EngineHolder {
   /** When it began to hold the engine. */
-  readonly since: Ms
+  readonly heldSince: Ms
   private _plan: AdapterPlan
-  private _news = new LoadNews()
+  private _news = new RecentLoads()
   private _control: EngineControl
   private readonly _liveness: LivenessProbe
   private _startedAt: number | undefined
@@ -117,43 +117,43 @@
   private _released = false
   private _wake: (() => void) | undefined
 
-  constructor (private readonly _options: HolderOptions) {
-    this.since = _options.clock.now()
+  constructor (private readonly _options: EngineHolderOptions) {
+    this.heldSince = _options.clock.now()
     this._plan = new AdapterPlan(_options.spec)
     this._admission = this._createAdmission()
     this._control = _options.control
     this._startedAt = _options.startedAt
-    this._liveness = new LivenessProbe({ ..._options, mayAsk: () => this._rest <= 0, probe: async () => (await this._control.report()).isOk() })
+    this._liveness = new LivenessProbe({ ..._options, mayProbe: () => this._rest <= 0, probe: async () => (await this._control.report()).isOk() })
     this._pump()
   }
 
   /** Ms for which the engine wants nothing from this entry; 0 or less when it takes orders. */
-  private get _rest (): Ms { return this._options.restsUntil() - this._options.clock.now() }
+  private get _rest (): Ms { return this._options.backoffUntil() - this._options.clock.now() }
 
   get fence (): number { return this._options.fence }
   get slotsUsed (): number { return this._plan.slotsUsed }
 
   /** Asks for an adapter and waits until it can be used, or for as long as the ask says. */
-  async ask (ask: Ask): Promise<AskOutcome> {
+  async requestLoad (ask: LoadRequest): Promise<LoadRequestOutcome> {
     if (this._released) return { kind: 'unavailable', cause: 'not held here' }
     const answer = await this._answer(ask)
     return { ...answer, news: this._news.since(ask.heard) }
   }
 
-  private async _answer (ask: Ask): Promise<AskAnswer> {
+  private async _answer (ask: LoadRequest): Promise<AskAnswer> {
     const { clock } = this._options
     const { want, entry, prompt } = ask
     if (this._liveness.silent) return { kind: 'unavailable', cause: 'the engine does not answer' }
     this._admission.note(entry, ask.outstanding)
-    this._admission.learn(ask.streams, ask.paused)
+    this._admission.recordStreams(ask.streams, ask.paused)
     const startedAt = clock.now()
     const outcome = await this._await(ask)
     if (outcome.kind !== 'ready') return outcome
     const readyAt = clock.now()
     if (prompt === undefined) return { ...outcome, load: this.load }
-    if (!ask.mayWait && this._admission.placeWait > longestPlaceWait) return { kind: 'unavailable', cause: 'every place is in use', line: this._admission.queued, load: this.load }
+    if (!ask.mayWait && this._admission.slotWait > longestPlaceWait) return { kind: 'unavailable', cause: 'every place is in use', line: this._admission.queued, load: this.load }
     const left = ask.answerIn - (readyAt - startedAt)
-    if (want.adapter !== undefined) this._plan.keep(want.model, want.adapter, readyAt + left)
+    if (want.adapter !== undefined) this._plan.extendReservation(want.model, want.adapter, readyAt + left)
     if (!await this._admission.admit({ entry, urgency: ask.urgency, ...prompt }, left)) return { kind: 'coming', atDoor: clock.now() - readyAt }
     const now = clock.now()
     if (want.adapter !== undefined) this._plan.addUse(entry, want.model, want.adapter, now)
@@ -161,19 +161,19 @@
   }
 
   private _createAdmission (): EngineAdmission {
-    const { clock, spec, stay } = this._options
+    const { clock, spec, serviceTime: stay } = this._options
     return new EngineAdmission(clock, spec.slots, stay)
   }
 
   /** What is there now. */
   get load (): EngineLoad { return this._admission.load }
 
-  private _await ({ want, urgency, patience, answerIn, missing, mayWait, repeated, entry, uses, prompt }: Ask): Promise<AskAnswer> {
+  private _await ({ want, urgency, patience, answerIn, missing, mayWait, repeated, entry, uses, prompt }: LoadRequest): Promise<AskAnswer> {
     const { clock } = this._options
     const now = clock.now()
-    this._plan.noteUse(entry, uses, now)
-    if (this._rest > 0) return Promise.resolve(this._plan.promise(want, now) ?? wantsRest)
-    const readiness = this._plan.ask(want, { urgency, until: now + patience, dueAt: now + (prompt?.dueIn ?? Infinity), missing, mayWait, repeated }, now)
+    this._plan.recordUse(entry, uses, now)
+    if (this._rest > 0) return Promise.resolve(this._plan.reserve(want, now) ?? wantsRest)
+    const readiness = this._plan.requestAdapter(want, { urgency, until: now + patience, dueAt: now + (prompt?.dueIn ?? Infinity), missing, mayWait, repeated }, now)
     if (readiness.kind === 'ready') return Promise.resolve(readiness)
     if (readiness.kind === 'occupied') return Promise.resolve({ kind: 'unavailable', cause: 'every slot is in use', line: this._plan.waiting })
     return new Promise(resolve => {
@@ -185,22 +185,22 @@
   }
 
   /** Takes an entry's word on what it uses, and on its open requests. */
-  noteUse (entry: string, uses: readonly string[], outstanding: number | undefined): void {
-    this._plan.noteUse(entry, uses, this._options.clock.now())
+  recordUse (entry: string, uses: readonly string[], outstanding: number | undefined): void {
+    this._plan.recordUse(entry, uses, this._options.clock.now())
     if (outstanding !== undefined) this._admission.note(entry, outstanding)
     this._pump()
   }
 
   /** Loads an adapter that nobody waits for yet, such as a new version of one that is held. */
-  prefetch (want: AdapterWant): void {
+  prefetch (want: RequestedAdapter): void {
     if (this._released) return
     const now = this._options.clock.now()
-    this._plan.ask(want, { urgency: Number.MAX_SAFE_INTEGER, until: now + prefetchLasts, dueAt: Infinity, missing: false, mayWait: true, repeated: false }, now)
+    this._plan.requestAdapter(want, { urgency: Number.MAX_SAFE_INTEGER, until: now + prefetchLasts, dueAt: Infinity, missing: false, mayWait: true, repeated: false }, now)
     this._pump()
   }
 
   /** Versions held of an adapter. */
-  holds (model: string, adapter: string): boolean { return this._plan.holdsAdapter(model, adapter) }
+  holds (model: string, adapter: string): boolean { return this._plan.hasAdapterSlot(model, adapter) }
 
   /**
    * The engine has started again.
@@ -214,18 +214,18 @@
   restart (startedAt: number | undefined, control: EngineControl): void {
     if (this._released) return
     this._control = control
-    if (compareStarts(startedAt, this._startedAt) !== 'later') return
+    if (compareStartTimes(startedAt, this._startedAt) !== 'later') return
     this._options.log.info('loads', 'engine started again.', { upstream: this._options.upstream, fence: this.fence, startedAt, before: this._startedAt })
     this._startedAt = startedAt
     this._plan = new AdapterPlan(this._options.spec)
-    this._news = new LoadNews()
+    this._news = new RecentLoads()
     this._admission = this._createAdmission()
     for (const waiter of [...this._waiters]) this._settle(waiter, { kind: 'coming' })
     this._pump()
   }
 
   /** The engine has asked to be left alone: what needs an order there is not waited for. */
-  rests (): void {
+  startBackoff (): void {
     for (const waiter of [...this._waiters]) this._settle(waiter, wantsRest)
   }
 
@@ -254,7 +254,7 @@
   private _answerWaiters (): void {
     const now = this._options.clock.now()
     for (const waiter of [...this._waiters]) {
-      const readiness = this._plan.promise(waiter.want, now)
+      const readiness = this._plan.reserve(waiter.want, now)
       if (readiness !== undefined) this._settle(waiter, readiness)
     }
   }
@@ -265,10 +265,10 @@
     this._wake?.()
     const { clock } = this._options
     const now = clock.now()
-    const action = this._plan.next(now)
+    const action = this._plan.nextAction(now)
     this._answerWaiters()
     if (action.kind === 'idle') {
-      const until = Math.min(action.until, this._plan.nextReady(now) ?? Infinity)
+      const until = Math.min(action.until, this._plan.nextLoadDueAt(now) ?? Infinity)
       if (until !== Infinity) this._sleep(until - now)
       return
     }
@@ -289,7 +289,7 @@
       this._options.log.warn('loads', 'order failed.', { upstream: this._options.upstream, error: error.message })
       this._sleep(doubtPause)
     })
-    const ready = this._plan.nextReady(now)
+    const ready = this._plan.nextLoadDueAt(now)
     if (ready !== undefined) this._sleep(ready - now)
   }
 
@@ -323,7 +323,7 @@
     }
     this._liveness.heard()
     const { orders, models, coming, startedAt } = report.value
-    const incarnation = compareStarts(startedAt, this._startedAt)
+    const incarnation = compareStartTimes(startedAt, this._startedAt)
     if (incarnation === 'later') return this.restart(startedAt, this._control)
     if (incarnation === 'earlier') {
       log.info('loads', 'report of an earlier incarnation dropped.', { upstream, startedAt, known: this._startedAt })
@@ -332,7 +332,7 @@
     }
     const held = models.reduce((sum, { adapters }) => sum + adapters.length, 0)
     log.info('loads', 'report taken.', { upstream, orders, counted: this._plan.orders, held, coming: coming.length, took: Math.round(clock.now() - askedAt) })
-    plan.takeReport(report.value, askedAt)
+    plan.applyReport(report.value, askedAt)
   }
 
   private async _order (action: PlanAction & { readonly kind: 'load' | 'unload' }): Promise<void> {
@@ -345,13 +345,13 @@
     if (plan !== this._plan) return
     if (answer.isOk()) this._liveness.heard()
     const outcome = answer.isOk() ? answer.value : undefined
-    plan.ordered(action, outcome, clock.now())
+    plan.recordOrderOutcome(action, outcome, clock.now())
     const { model, adapter, version } = action.target
-    if (action.kind === 'load' && outcome === 'holds' && adapter !== undefined) this._news.add({ key: wantKey({ model, adapter }), version: version ?? 0 })
+    if (action.kind === 'load' && outcome === 'holds' && adapter !== undefined) this._news.add({ key: requestedAdapterKey({ model, adapter }), version: version ?? 0 })
     this._note(action.kind, action.target, outcome)
   }
 
-  private _note (kind: 'load' | 'unload', target: LoadTarget, outcome: OrderOutcome | undefined): void {
+  private _note (kind: 'load' | 'unload', target: LoadTarget, outcome: EngineOrderOutcome | undefined): void {
     const { log, upstream, fence } = this._options
     log.info('loads', `${kind} ${outcome ?? 'unanswered'}.`, { upstream, ...target, fence, afterOrders: this._plan.orders, waiting: this._plan.waiting, slotsUsed: this._plan.slotsUsed })
   }
--- a/packages/direct/src/lib/exchange.ts
+++ b/packages/direct/src/lib/exchange.ts
@@ -4,7 +4,7 @@
 import { type ClientRequest, type IncomingMessage, request } from 'node:http'
 import type { Clock, Ms } from '@hazelford/core'
 import type { UpstreamRefusal } from '@hazelford/decisions'
-import type { AnswerFacts, CallCodec, UpstreamNotice } from '@hazelford/ports'
+import type { AnswerMetadata, CallCodec, UpstreamNotice } from '@hazelford/ports'
 import type { ConnectionPool } from './connection-pool.js'
 import { EventFramer } from './event-framer.js'
 import { endToEndHeaders } from './hop-headers.js'
@@ -182,13 +182,13 @@
   }
 
   /** Whether another upstream answers at this address. */
-  private _isOtherInstance (res: IncomingMessage, { instance }: AnswerFacts): boolean {
+  private _isOtherInstance (res: IncomingMessage, { instance }: AnswerMetadata): boolean {
     return res.statusCode === otherInstanceStatus && instance !== this._call.instance
   }
 
   private _noteIdle (res: IncomingMessage): void {
     const match = /timeout=(\d+)/.exec(String(res.headers['keep-alive']))
-    if (match !== null) this._pool.announceIdle(Number(match[1]))
+    if (match !== null) this._pool.setIdleTimeout(Number(match[1]))
   }
 
   private _refused (res: IncomingMessage, otherInstance: boolean): void {
--- a/packages/direct/src/lib/lease-keeper.ts
+++ b/packages/direct/src/lib/lease-renewer.ts
@@ -1,7 +1,7 @@
 /**
  * Keeps this process's one lease at the store, and knows when it may have ended.
  */
-import { type Clock, type Instant, instantOf, type Log, type Ms, sameCourse, sleep } from '@hazelford/core'
+import { type Clock, type Instant, instantOf, type Log, type Ms, clocksAgree, sleep } from '@hazelford/core'
 import type { Store } from '@hazelford/ports'
 
 /**
@@ -21,7 +21,7 @@
 }
 
 /** Holds a lease for as long as the process lives. */
-export class LeaseKeeper {
+export class LeaseRenewer {
   private _lease: number | undefined
   private _validUntil: Ms = -Infinity
   /** When the last renewal that was answered was sent. */
@@ -42,7 +42,7 @@
    * of it says that only a renewal can tell.
    */
   get valid (): boolean {
-    return this._lease !== undefined && this._clock.now() < this._validUntil && sameCourse(this._provedAt, instantOf(this._clock))
+    return this._lease !== undefined && this._clock.now() < this._validUntil && clocksAgree(this._provedAt, instantOf(this._clock))
   }
 
   start (): void { this._run().catch((error: Error) => this._log.warn('lease', 'keeper stopped.', { error: error.message })) }
--- a/packages/direct/src/lib/liveness-probe.ts
+++ b/packages/direct/src/lib/liveness-probe.ts
@@ -9,7 +9,7 @@
   readonly clock: Clock
   readonly log: Log
   /** Whether the engine can be asked now. */
-  readonly mayAsk: () => boolean
+  readonly mayProbe: () => boolean
   /** Asks the engine for anything. */
   readonly probe: () => Promise<boolean>
 }
@@ -63,7 +63,7 @@
   }
 
   private async _check (): Promise<void> {
-    if (!this._options.mayAsk()) this._heardAt = this._options.clock.now()
+    if (!this._options.mayProbe()) this._heardAt = this._options.clock.now()
     else if (this._options.clock.now() - this._heardAt >= askAfter) await this._ask()
     if (!this._stopped) this._wait()
   }
--- a/packages/direct/src/lib/load-digest.ts
+++ b/packages/direct/src/lib/load-digest.ts
@@ -15,12 +15,12 @@
  * Digests in one message. With six messages a second each way, as an entry of 68 has, each engine of 84 is heard of about once a
  * second. Sixteen, each with its field names, more than doubled the bytes between zones (62 to 143 MB in 50 s of 28 entries).
  */
-export const digestsTold = 8
+export const maxDigestsPerMessage = 8
 
 /** A digest in a message: upstream, requests, prompt tokens, age. */
 export type DigestRow = readonly [string, number, number, Ms]
 
-export function toRow ({ upstream, running, promptBacklog, age }: LoadDigest): DigestRow {
+export function toDigestRow ({ upstream, running, promptBacklog, age }: LoadDigest): DigestRow {
   return [upstream, running, Math.round(promptBacklog), Math.round(age)]
 }
 
@@ -46,9 +46,9 @@
  * @param random - uniform in [0, 1)
  */
 export function pickDigests (own: readonly LoadDigest[], others: readonly LoadDigest[], random: () => number): readonly LoadDigest[] {
-  const picked = own.slice(0, digestsTold)
+  const picked = own.slice(0, maxDigestsPerMessage)
   // A random start: those told together differ from message to message, and all have their turn.
   const start = Math.floor(random() * others.length)
-  for (let n = 0; n < others.length && picked.length < digestsTold; n++) picked.push(others[(start + n) % others.length]!)
+  for (let n = 0; n < others.length && picked.length < maxDigestsPerMessage; n++) picked.push(others[(start + n) % others.length]!)
   return picked
 }
--- a/packages/direct/src/lib/membership.ts
+++ b/packages/direct/src/lib/membership.ts
@@ -2,7 +2,7 @@
  * The upstreams that live, from what they write into the store.
  */
 import type { Clock, Log, Ms } from '@hazelford/core'
-import { compareStarts, type UpstreamRecord } from '@hazelford/ports'
+import { compareStartTimes, type UpstreamRecord } from '@hazelford/ports'
 import { Upstream } from './upstream.js'
 
 /**
@@ -83,7 +83,7 @@
    */
   put (record: UpstreamRecord): void {
     const known = this._upstreams.get(record.id)
-    const order = compareStarts(record.startedAt, this._starts.get(record.id))
+    const order = compareStartTimes(record.startedAt, this._starts.get(record.id))
     if (order === 'earlier') {
       this._log.info('membership', 'record of an earlier incarnation dropped.', { upstream: record.id, startedAt: record.startedAt, known: this._starts.get(record.id) })
       return
@@ -101,7 +101,7 @@
   }
 
   /** Takes an upstream's own word that it leaves. Its record may lapse and come back, and says ready until the store has taken that word. */
-  leaves (upstream: Upstream): void {
+  markLeaving (upstream: Upstream): void {
     const { id, record } = upstream
     this._leaving.delete(id)
     this._leaving.set(id, record.startedAt)
--- a/packages/direct/src/lib/notice-desk.ts
+++ b/packages/direct/src/lib/notice-coordinator.ts
@@ -10,24 +10,24 @@
 import type { LimitReply, LimitReport } from './peer-messages.js'
 import type { PeerAddress } from './peer-table.js'
 import type { Upstream } from './upstream.js'
-import { UsageDesk } from './usage-desk.js'
-import type { Admission } from './usage-line.js'
+import { UsageCoordinator } from './usage-coordinator.js'
+import type { Admission } from './credit-queue.js'
 
 /** What the desk needs of its entry. */
-export interface NoticeDeskOptions {
+export interface NoticeCoordinatorOptions {
   readonly node: string
   readonly clock: Clock
   readonly log: Log
   readonly metrics: Pick<EntryMetrics, 'notices'>
-  readonly client: Pick<PeerClient, 'reportLimits' | 'tellNotices' | 'ping'>
+  readonly client: Pick<PeerClient, 'reportLimits' | 'sendNotices' | 'ping'>
   /** All entries that live. */
   readonly entries: () => readonly PeerAddress[]
   /** Entries that share an upstream's limit. */
   readonly entryCount: () => number
   /** An upstream has said that it leaves. */
-  readonly leaves: (upstream: Upstream) => void
+  readonly leavingAnnounced: (upstream: Upstream) => void
   /** An upstream has asked this entry to leave it alone. */
-  readonly rests: (upstream: Upstream) => void
+  readonly backoffRequested: (upstream: Upstream) => void
   /** Numbers below 1. */
   readonly random?: () => number
   readonly upstreams: { readonly all: () => Iterable<Upstream>, readonly get: (id: string) => Upstream | undefined }
@@ -49,26 +49,26 @@
 const untoldPause: Ms = 500
 
 /** Words of all upstreams at one entry. */
-export class NoticeDesk {
+export class NoticeCoordinator {
   /** Requests that upstreams take, lent by a keeper to all entries. */
-  private readonly _limits: UsageDesk
+  private readonly _limits: UsageCoordinator
   /** Upstreams of which another entry has told that they leave. */
   private readonly _told = new WeakSet<Upstream>()
 
-  constructor (private readonly _options: NoticeDeskOptions) {
+  constructor (private readonly _options: NoticeCoordinatorOptions) {
     const { node, clock, log, client, entries, entryCount } = _options
-    this._limits = new UsageDesk({
+    this._limits = new UsageCoordinator({
       node,
       kind: keepersOf,
       clock,
       log,
       bounds: () => limitBounds,
       // Another upstream may have room.
-      isPatient: false,
+      waitsForCredit: false,
       entries,
       entryCount,
       limits: () => this._limited(),
-      untold: () => ({ granted: 0, wait: untoldPause }),
+      defaultGrant: () => ({ granted: 0, wait: untoldPause }),
       report: async (peer, msg) => this._heardReply(await client.reportLimits(peer, { ...msg, notices: this._rows() })),
       ping: peer => client.ping(peer)
     })
@@ -89,7 +89,7 @@
    * @param notice - as the answer says
    * @param took - ms since the answer was asked for
    */
-  take (upstream: Upstream, notice: UpstreamNotice, took: Ms): void {
+  applyNotice (upstream: Upstream, notice: UpstreamNotice, took: Ms): void {
     const now = this._options.clock.now()
     for (const change of upstream.notices.note(notice, now - took, now)) this._changed(upstream, change, 'its answer')
   }
@@ -107,8 +107,8 @@
       const upstream = this._options.upstreams.get(id)
       if (upstream === undefined || upstream.record.startedAt !== startedAt) continue
       if (leaving) this._told.add(upstream)
-      if (leaving && upstream.notices.noteLeaving()) this._changed(upstream, { kind: 'leaving' }, 'another entry')
-      const change = limit && upstream.notices.noteLimit({ rate: limit.rate ?? undefined, at: now - limit.age })
+      if (leaving && upstream.notices.recordLeaving()) this._changed(upstream, { kind: 'leaving' }, 'another entry')
+      const change = limit && upstream.notices.recordLimit({ rate: limit.rate ?? undefined, at: now - limit.age })
       if (change !== undefined) this._changed(upstream, change, 'another entry')
     }
   }
@@ -157,12 +157,12 @@
         return
       case 'leaving':
         log.info('membership', 'upstream says that it leaves.', { ...about, listedAs: record.state })
-        this._options.leaves(upstream)
+        this._options.leavingAnnounced(upstream)
         if (source === 'its answer') this._tellLeaving(upstream)
         return
       case 'rest':
         log.info('membership', 'upstream asks for rest.', { ...about, lasts: Math.round(change.lasts) })
-        return this._options.rests(upstream)
+        return this._options.backoffRequested(upstream)
       default: return assertNever(change)
     }
   }
@@ -187,7 +187,7 @@
     const notices = [this._row(upstream)]
     for (const peer of entries()) {
       if (peer.node === node) continue
-      client.tellNotices(peer, { notices }).catch((error: Error) => log.info('peers', 'not told what upstreams say.', { peer: peer.node, cause: error.message }))
+      client.sendNotices(peer, { notices }).catch((error: Error) => log.info('peers', 'not told what upstreams say.', { peer: peer.node, cause: error.message }))
     }
   }
 }
--- a/packages/direct/src/lib/notice-messages.ts
+++ b/packages/direct/src/lib/notice-messages.ts
@@ -2,7 +2,7 @@
  * What entries tell each other of the words of upstreams.
  */
 import type { Ms } from '@hazelford/core'
-import { isAmount } from './amount.js'
+import { isNonNegativeNumber } from './non-negative-number.js'
 
 /** One upstream's latest word, as far as an entry knows. */
 export interface NoticeRow {
@@ -28,12 +28,12 @@
 
 function isLimit (value: unknown): value is LimitRow {
   const { rate, age } = (value ?? {}) as Record<string, unknown>
-  return (rate === null || isAmount(rate)) && isAmount(age)
+  return (rate === null || isNonNegativeNumber(rate)) && isNonNegativeNumber(age)
 }
 
 function isRow (value: unknown): value is NoticeRow {
   const { upstream, startedAt, leaving, limit } = (value ?? {}) as Record<string, unknown>
-  return typeof upstream === 'string' && (startedAt === undefined || isAmount(startedAt)) && typeof leaving === 'boolean' && (limit === undefined || isLimit(limit))
+  return typeof upstream === 'string' && (startedAt === undefined || isNonNegativeNumber(startedAt)) && typeof leaving === 'boolean' && (limit === undefined || isLimit(limit))
 }
 
 /** Reads words of upstreams; undefined when they are none. */
--- a/packages/direct/src/lib/organisation-usage.ts
+++ b/packages/direct/src/lib/organisation-usage.ts
@@ -22,6 +22,6 @@
  * Lets in what a keeper says nothing of. It has another configuration, in which these organisations have no limit: it hears of
  * theirs, or this entry of their end, within the time in which a change is in force.
  */
-export function grantUntold ({ waiting, ahead }: UsageRow): Omit<UsageGrant, 'account'> {
+export function grantInFull ({ waiting, ahead }: UsageRow): Omit<UsageGrant, 'account'> {
   return { granted: waiting + ahead, wait: 0 }
 }
--- a/packages/direct/src/lib/peer-client.ts
+++ b/packages/direct/src/lib/peer-client.ts
@@ -7,10 +7,10 @@
 import { type FeedAnswer, readFeedAnswer } from './change-feed.js'
 import { callJson, type JsonAnswer, type JsonCall, NoAnswer } from './json-client.js'
 import { type NoticeMessage, readNotices } from './notice-messages.js'
-import { type AnsweredQuery, type AskMessage, type AskReply, type ChangesMessage, type EndsMessage, type HeldMessage, type LimitReply, type LimitReport, type PeerAskOutcome, peerPaths, type TakenMessage, type UseMessage } from './peer-messages.js'
+import { type AnsweredQuery, type LoadRequestMessage, type LoadRequestReply, type ChangesMessage, type TerminationsMessage, type QuarantinedMessage, type LimitReply, type LimitReport, type PeerLoadRequestOutcome, peerPaths, type TakeoverMessage, type UseMessage } from './peer-messages.js'
 import type { ConfigAge, PeerState } from './peer-state.js'
 import type { PeerAddress } from './peer-table.js'
-import type { UsageMessage } from './usage-desk.js'
+import type { UsageMessage } from './usage-coordinator.js'
 import { readUsageGrants } from './usage-messages.js'
 
 /** Peers are a few ms apart; one that takes longer is cut off, frozen or gone. */
@@ -32,11 +32,11 @@
    * @param now - for the time of the promise
    * @returns rejects when no answer came in time
    */
-  async ask (peer: PeerAddress, msg: AskMessage, now: () => Ms): Promise<PeerAskOutcome> {
+  async requestLoad (peer: PeerAddress, msg: LoadRequestMessage, now: () => Ms): Promise<PeerLoadRequestOutcome> {
     const sentAt = now()
     const answer = await this._call({ host: peer.host, port: peer.port, method: 'POST', path: peerPaths.ask, body: msg, timeout: msg.answerIn + answerMargin })
     if (answer.status !== 200) throw new Error(`The holder answered ${answer.status}.`)
-    const reply = answer.body as AskReply
+    const reply = answer.body as LoadRequestReply
     const loads = reply.loads ?? []
     if (reply.kind !== 'ready') return { ...reply, loads }
     const { lasts, version, ...rest } = reply
@@ -78,7 +78,7 @@
   }
 
   /** Tells an entry what upstreams say of themselves; rejects when it does not answer. */
-  tellNotices (peer: PeerAddress, msg: NoticeMessage): Promise<void> { return this._tell(peer, peerPaths.notices, msg) }
+  sendNotices (peer: PeerAddress, msg: NoticeMessage): Promise<void> { return this._tell(peer, peerPaths.notices, msg) }
 
   /** Asks as of when a peer knows the configuration; undefined when it does not say. */
   async configAge ({ host, port }: PeerAddress): Promise<ConfigAge | undefined> {
@@ -93,23 +93,23 @@
   }
 
   /** Tells a holder what this entry still uses. */
-  tellUse (peer: PeerAddress, msg: UseMessage): Promise<void> { return this._tell(peer, peerPaths.use, msg) }
+  reportUse (peer: PeerAddress, msg: UseMessage): Promise<void> { return this._tell(peer, peerPaths.use, msg) }
 
   /** Tells the former holder of an engine that it has a new one; rejects when it does not answer. */
-  tellTaken (peer: PeerAddress, msg: TakenMessage): Promise<void> { return this._tell(peer, peerPaths.taken, msg) }
+  notifyTakeover (peer: PeerAddress, msg: TakeoverMessage): Promise<void> { return this._tell(peer, peerPaths.taken, msg) }
 
   /** Tells an entry that counts them of ends of upstreams; rejects when it does not answer. */
-  tellEnds (peer: PeerAddress, msg: EndsMessage): Promise<void> { return this._tell(peer, peerPaths.ends, msg) }
+  reportTerminations (peer: PeerAddress, msg: TerminationsMessage): Promise<void> { return this._tell(peer, peerPaths.ends, msg) }
 
   /** Asks an entry which of some requests it has answered lately; rejects when it does not answer. */
-  async askAnswered ({ host, port }: PeerAddress, query: AnsweredQuery): Promise<readonly string[]> {
+  async queryAnswered ({ host, port }: PeerAddress, query: AnsweredQuery): Promise<readonly string[]> {
     const answer = await this._call({ host, port, method: 'POST', path: peerPaths.answered, body: query, timeout: answerMargin })
     if (answer.status !== 200) throw new Error(`The peer answered ${answer.status}.`)
     return (answer.body as { readonly answered: readonly string[] }).answered
   }
 
   /** Tells an entry which requests are held back; rejects when it does not answer. */
-  tellHeld (peer: PeerAddress, msg: HeldMessage): Promise<void> { return this._tell(peer, peerPaths.held, msg) }
+  notifyQuarantined (peer: PeerAddress, msg: QuarantinedMessage): Promise<void> { return this._tell(peer, peerPaths.held, msg) }
 
   /** Ends calls that are under way; later ones are rejected. */
   close (): void {
--- a/packages/direct/src/lib/peer-follower.ts
+++ b/packages/direct/src/lib/peer-follower.ts
@@ -7,7 +7,7 @@
 import type { PeerAddress } from './peer-table.js'
 
 /** What the follower needs of its entry. */
-export interface FollowerOptions {
+export interface PeerFollowerOptions {
   readonly clock: Clock
   readonly log: Log
   readonly client: PeerClient
@@ -16,9 +16,9 @@
   /** Ms since the store was last heard here. */
   readonly age: () => Ms
   /** Longest ms between two answers of a store that does well. */
-  readonly turn: () => Ms
+  readonly maxAnswerInterval: () => Ms
   /** `asked`: when the peer was. */
-  readonly take: (state: PeerState, asked: Instant) => void
+  readonly apply: (state: PeerState, asked: Instant) => void
 }
 
 /** Beyond the longest turn of a store that does well, what is older has missed its turn. */
@@ -38,7 +38,7 @@
   private _turn = 0
   private _following = false
 
-  constructor (private readonly _options: FollowerOptions) {}
+  constructor (private readonly _options: PeerFollowerOptions) {}
 
   start (): void {
     this._run().catch((error: Error) => this._options.log.warn('peers', 'no longer followed.', { error: error.message }))
@@ -46,7 +46,7 @@
 
   stop (): void { this._stopped = true }
 
-  private get _staleAfter (): Ms { return this._options.turn() + staleMargin }
+  private get _staleAfter (): Ms { return this._options.maxAnswerInterval() + staleMargin }
 
   private async _run (): Promise<void> {
     while (!this._stopped) {
@@ -57,7 +57,7 @@
   }
 
   private async _follow (): Promise<void> {
-    const { peers, client, age, take, log, clock } = this._options
+    const { peers, client, age, apply: take, log, clock } = this._options
     const others = peers()
     const peer = others[this._turn++ % Math.max(1, others.length)]
     if (peer === undefined) return
--- a/packages/direct/src/lib/peer-messages.ts
+++ b/packages/direct/src/lib/peer-messages.ts
@@ -4,11 +4,11 @@
 import type { Ms } from '@hazelford/core'
 import type { UsageGrant } from '@hazelford/decisions'
 import type { EngineLoad } from './engine-admission.js'
-import type { Ask, AskOutcome, UnavailableCause } from './engine-holder.js'
+import type { LoadRequest, LoadRequestOutcome, UnavailableCause } from './engine-holder.js'
 import type { DigestRow } from './load-digest.js'
-import type { News } from './load-news.js'
+import type { RecentLoadsUpdate } from './recent-loads.js'
 import type { NoticeMessage } from './notice-messages.js'
-import type { UsageMessage } from './usage-desk.js'
+import type { UsageMessage } from './usage-coordinator.js'
 
 /** Where each call is served. */
 export const peerPaths = {
@@ -28,14 +28,14 @@
 } as const
 
 /** An adapter asked of another entry. */
-export interface AskMessage extends Ask {
+export interface LoadRequestMessage extends LoadRequest {
   readonly upstream: string
   /** What the asking entry knows of engines' loads. */
   readonly loads: readonly DigestRow[]
 }
 
 /** The answer to an ask of another entry. */
-export type PeerAskOutcome = AskOutcome & { readonly loads: readonly DigestRow[] }
+export type PeerLoadRequestOutcome = LoadRequestOutcome & { readonly loads: readonly DigestRow[] }
 
 /** What an entry still uses at an engine. */
 export interface UseMessage {
@@ -47,16 +47,16 @@
 }
 
 /** An engine that has a new holder. */
-export interface TakenMessage { readonly upstream: string, readonly fence: number }
+export interface TakeoverMessage { readonly upstream: string, readonly fence: number }
 
 /** Upstreams that ended while they had requests, told to an entry that counts such ends. */
-export interface EndsMessage {
+export interface TerminationsMessage {
   /** `request`: its fingerprint; `age`: ms since its answer was lost. */
   readonly ends: ReadonlyArray<{ readonly request: string, readonly upstream: string, readonly age: Ms }>
 }
 
 /** Requests that are held back, by their fingerprints. */
-export interface HeldMessage { readonly requests: readonly string[] }
+export interface QuarantinedMessage { readonly requests: readonly string[] }
 
 /** Asks which of some requests were answered whole lately, by their fingerprints. */
 export interface AnsweredQuery { readonly requests: readonly string[] }
@@ -68,7 +68,7 @@
 export interface LimitReply extends NoticeMessage { readonly grants: readonly UsageGrant[] }
 
 /** The answer; a promise is told as the time left, since clocks differ. */
-export type AskReply = { readonly news?: News, readonly loads?: readonly DigestRow[] } & (
+export type LoadRequestReply = { readonly news?: RecentLoadsUpdate, readonly loads?: readonly DigestRow[] } & (
   | { readonly kind: 'ready', readonly lasts: Ms, readonly version?: number, readonly load?: EngineLoad, readonly atDoor?: Ms }
   | { readonly kind: 'coming', readonly atDoor?: Ms }
   | { readonly kind: 'unavailable', readonly cause: UnavailableCause, readonly line?: number, readonly load?: EngineLoad }
--- a/packages/direct/src/lib/peer-state.ts
+++ b/packages/direct/src/lib/peer-state.ts
@@ -45,7 +45,7 @@
  * @param known - whether the store has answered meanwhile
  * @param take - takes a peer's state
  */
-export async function learnFromPeers (
+export async function fetchStateFromPeers (
   seeds: readonly { readonly host: string, readonly port: number }[],
   client: PeerClient,
   clock: Clock,
--- a/packages/direct/src/lib/peer-table.ts
+++ b/packages/direct/src/lib/peer-table.ts
@@ -6,9 +6,9 @@
 import type { StoreEvent, StoreItem } from '@hazelford/ports'
 
 /** Keys of the system's own. */
-export const ownPrefix = 'hazelford/'
-const entriesPrefix = `${ownPrefix}entries/`
-const holdersPrefix = `${ownPrefix}holders/`
+export const systemKeyPrefix = 'hazelford/'
+const entriesPrefix = `${systemKeyPrefix}entries/`
+const holdersPrefix = `${systemKeyPrefix}holders/`
 
 /** Where an entry listens for the others. */
 export interface PeerAddress {
--- a/packages/direct/src/lib/placer.ts
+++ b/packages/direct/src/lib/placer.ts
@@ -2,17 +2,17 @@
  * Finds the upstream for a request: ranks the candidates and gets the adapter there.
  */
 import { type Clock, type Log, type Ms, sleep } from '@hazelford/core'
-import { type AdapterWant, DecayedCounter, type PlacementCandidate, rankCandidates, rendezvousOrder, replicasFor, Smoothed, type UnplacedCause } from '@hazelford/decisions'
+import { type RequestedAdapter, DecayedCounter, type PlacementCandidate, rankCandidates, rendezvousOrder, replicasFor, MovingAverage, type UnplacedCause } from '@hazelford/decisions'
 import type { AdapterDirectory, EnsureQuery } from './adapter-directory.js'
 import type { UnavailableCause } from './engine-holder.js'
 import type { Membership } from './membership.js'
 import type { Upstream } from './upstream.js'
-import type { Admission } from './usage-line.js'
+import type { Admission } from './credit-queue.js'
 
 /** What is to be placed. */
 export interface PlaceQuery {
   readonly service: string
-  readonly want: AdapterWant | undefined
+  readonly want: RequestedAdapter | undefined
   readonly urgency: number
   readonly avoid: ReadonlySet<string>
   /** The upstream that refused for lack of the adapter, to be asked again. */
@@ -30,7 +30,7 @@
   /** Ms until its adapter was there: for a slot and for the load. */
   readonly adapter: Ms
   /** Ms until the engine could read its prompt. */
-  readonly door: Ms
+  readonly admissionWait: Ms
 }
 
 /** Where a request can go. */
@@ -98,7 +98,7 @@
 /** Places requests of one entry. */
 export class Placer {
   private readonly _seen = new DecayedCounter(popularityHalfLife, 20_000)
-  private readonly _stays = new Map<string, Smoothed>()
+  private readonly _stays = new Map<string, MovingAverage>()
   private _orders = new Map<string, ReadonlyMap<string, number>>()
   private _ordersOf = ''
 
@@ -107,21 +107,21 @@
   private get _now (): Ms { return this._options.clock.now() }
 
   /** Counts a request for the adapter's popularity. */
-  count (service: string, want: AdapterWant | undefined): void {
+  count (service: string, want: RequestedAdapter | undefined): void {
     const now = this._now
     this._seen.add(service, now)
     if (want !== undefined) this._seen.add(`${service} ${want.model}/${want.adapter ?? ''}`, now)
   }
 
   /** Notes how long a request of a service stayed at its upstream. */
-  noteStay (service: string, stay: Ms): void {
-    const known = this._stays.get(service) ?? new Smoothed(stay, stayWeight)
+  recordServiceTime (service: string, stay: Ms): void {
+    const known = this._stays.get(service) ?? new MovingAverage(stay, stayWeight)
     known.add(stay)
     this._stays.set(service, known)
   }
 
   /** Ms that a request of a service stays at its upstream; 0 when none has ended. */
-  stay (service: string): Ms { return this._stays.get(service)?.value ?? 0 }
+  serviceTime (service: string): Ms { return this._stays.get(service)?.value ?? 0 }
 
   async place (query: PlaceQuery): Promise<Placed> {
     const startedAt = this._now
@@ -143,7 +143,7 @@
 
   /** Tells when the first of those that want rest can be asked again, if there are any. */
   private _unplaced ({ service, avoid }: PlaceQuery): Placed {
-    const rests = this._options.members.serving(service).filter(({ id }) => !avoid.has(id)).map(({ notices }) => notices.restsUntil - this._now)
+    const rests = this._options.members.serving(service).filter(({ id }) => !avoid.has(id)).map(({ notices }) => notices.backoffUntil - this._now)
     const rest = Math.min(...rests.filter(left => left > 0))
     return rest === Infinity
       ? { kind: 'unplaced', cause: 'no-upstream' }
@@ -167,15 +167,15 @@
   }
 
   /** Takes the first candidate that can have the adapter, else stands in line at the best. */
-  private async _placeAdapter (query: PlaceQuery, want: AdapterWant, candidates: readonly Upstream[]): Promise<Placed> {
+  private async _placeAdapter (query: PlaceQuery, want: RequestedAdapter, candidates: readonly Upstream[]): Promise<Placed> {
     const startedAt = this._now
     const placed = await this._placeAtOne(query, want, candidates)
     if (placed.kind === 'unplaced') return placed
-    const door = placed.waits?.door ?? 0
-    return { ...placed, waits: { adapter: this._now - startedAt - door, door } }
+    const door = placed.waits?.admissionWait ?? 0
+    return { ...placed, waits: { adapter: this._now - startedAt - door, admissionWait: door } }
   }
 
-  private async _placeAtOne (query: PlaceQuery, want: AdapterWant, candidates: readonly Upstream[]): Promise<Placed> {
+  private async _placeAtOne (query: PlaceQuery, want: RequestedAdapter, candidates: readonly Upstream[]): Promise<Placed> {
     const until = this._now + query.patience
     const lines: Line[] = []
     const causes: Partial<Record<UnavailableCause, number>> = {}
@@ -189,13 +189,13 @@
         continue
       }
       if (attempt.cause !== undefined) causes[attempt.cause] = (causes[attempt.cause] ?? 0) + 1
-      if (isLine(attempt.cause) && this._options.directory.canOrder(upstream.id)) lines.push({ upstream, length: attempt.line })
+      if (isLine(attempt.cause) && this._options.directory.canRequestLoad(upstream.id)) lines.push({ upstream, length: attempt.line })
     }
     lines.sort((a, b) => a.length - b.length)
     this._options.log.info('request', 'adapter not to be had.', { request: query.prompt.request, ...want, causes, standsAt: lines[0]?.upstream.id, ahead: lines[0]?.length, limitedFor: retryAfter === Infinity ? undefined : Math.round(retryAfter), left: Math.round(until - this._now) })
     for (let turn = 0; until > this._now && !query.cancelled(); turn++) {
       // Where nobody can order now, a line would stand for nothing.
-      const open = lines.filter(({ upstream }) => this._isOpen(upstream) && this._options.directory.canOrder(upstream.id))
+      const open = lines.filter(({ upstream }) => this._isOpen(upstream) && this._options.directory.canRequestLoad(upstream.id))
       if (open.length === 0) break
       const attempt = await this._await(open[turn % open.length]!.upstream, query, { want, urgency: query.urgency, missing: false, mayWait: true, repeated: true }, until)
       if (attempt.kind === 'placed') return attempt
@@ -231,7 +231,7 @@
       if (outcome.kind === 'unavailable') return { kind: 'not-there', cause: outcome.cause, line: outcome.line ?? 0 }
       door += outcome.atDoor ?? 0
       // It may have said that it leaves while the request waited.
-      if (outcome.kind === 'ready') return this._isOpen(upstream) ? { kind: 'placed', upstream, version: outcome.version, waits: { adapter: 0, door } } : { kind: 'not-there', line: 0 }
+      if (outcome.kind === 'ready') return this._isOpen(upstream) ? { kind: 'placed', upstream, version: outcome.version, waits: { adapter: 0, admissionWait: door } } : { kind: 'not-there', line: 0 }
       missing = false
       repeated = true
     }
@@ -239,7 +239,7 @@
 
   /** Whether an upstream takes new requests now. */
   private _isOpen (upstream: Upstream): boolean {
-    return upstream.notices.restsUntil <= this._now &&
+    return upstream.notices.backoffUntil <= this._now &&
       this._options.members.get(upstream.id) === upstream && upstream.record.state === 'ready' &&
       upstream.leavesAt > this._now + leavingMargin
   }
@@ -287,7 +287,7 @@
     }))
     const context = {
       replicas: want === undefined ? 1 : this._replicas(query.service, want, upstreams.length),
-      stay: this.stay(query.service)
+      serviceTime: this.serviceTime(query.service)
     }
     return rankCandidates(candidates, context).map(candidate => (candidate as typeof candidates[number]).upstream)
   }
@@ -296,15 +296,15 @@
    * Tells how many requests an upstream has. Of an engine without a young word, that it has as many as the others: an entry of
    * many sends there too seldom for its own count to say anything. Plain services have no holder that counts.
    */
-  private _loadGuess (upstreams: readonly Upstream[], want: AdapterWant | undefined, entries: number): (upstream: Upstream) => number {
+  private _loadGuess (upstreams: readonly Upstream[], want: RequestedAdapter | undefined, entries: number): (upstream: Upstream) => number {
     if (want === undefined) return upstream => upstream.outstanding * entries
-    this._options.directory.countOwnLoads()
+    this._options.directory.refreshOwnLoads()
     const known = upstreams.flatMap(({ running }) => running ?? [])
     const mean = known.length === 0 ? undefined : known.reduce((sum, each) => sum + each, 0) / known.length
     return upstream => upstream.running ?? Math.max(upstream.outstanding, mean ?? upstream.outstanding * entries)
   }
 
-  private _replicas (service: string, want: AdapterWant, upstreams: number): number {
+  private _replicas (service: string, want: RequestedAdapter, upstreams: number): number {
     const now = this._now
     const total = this._seen.read(service, now)
     if (want.adapter === undefined) return upstreams
--- a/packages/direct/src/lib/quarantine-desk.ts
+++ b/packages/direct/src/lib/quarantine-coordinator.ts
@@ -4,24 +4,24 @@
 import { type CancelTimer, type Clock, type Log, type Ms, sleep } from '@hazelford/core'
 import { type QuarantineLimits, rendezvousOrder, RequestQuarantine } from '@hazelford/decisions'
 import type { Store } from '@hazelford/ports'
-import { EndDetector, type LostRequest } from './end-detector.js'
+import { TerminationDetector, type InterruptedRequest } from './termination-detector.js'
 import type { ProbeOutcome } from './connection-probe.js'
 import type { PeerClient } from './peer-client.js'
-import type { AnsweredQuery, EndsMessage, HeldMessage } from './peer-messages.js'
-import { ownPrefix, type PeerAddress } from './peer-table.js'
+import type { AnsweredQuery, TerminationsMessage, QuarantinedMessage } from './peer-messages.js'
+import { systemKeyPrefix, type PeerAddress } from './peer-table.js'
 import type { Upstream } from './upstream.js'
 
 /** Keys of requests that are held back. */
-export const quarantinePrefix = `${ownPrefix}quarantine/`
+export const quarantinePrefix = `${systemKeyPrefix}quarantine/`
 
 /** What the desk needs of its entry. */
-export interface QuarantineDeskOptions {
+export interface QuarantineCoordinatorOptions {
   readonly node: string
   readonly clock: Clock
   readonly log: Log
   readonly limits: QuarantineLimits
   readonly store: Store
-  readonly client: Pick<PeerClient, 'tellEnds' | 'tellHeld' | 'askAnswered'>
+  readonly client: Pick<PeerClient, 'reportTerminations' | 'notifyQuarantined' | 'queryAnswered'>
   /** All entries that live, this one included. */
   readonly entries: () => readonly PeerAddress[]
   readonly probe: (upstream: Upstream) => Promise<ProbeOutcome>
@@ -56,22 +56,22 @@
  * count them. Whichever counts the third asks all whether they have answered the request lately; if none has, it tells all to
  * hold it back, and writes it into the store, under a lease, for entries that start later or were not reached.
  */
-export class QuarantineDesk {
+export class QuarantineCoordinator {
   private readonly _quarantine: RequestQuarantine
-  private readonly _detector: EndDetector
+  private readonly _detector: TerminationDetector
   /** Requests that stand in the store, and since when. */
   private readonly _storedAt = new Map<string, Ms>()
   /** Ends to tell, by the entry that counts them. */
-  private _untold = new Map<string, EndsMessage['ends'][number][]>()
+  private _untold = new Map<string, TerminationsMessage['ends'][number][]>()
   /** Requests of which others are being asked. */
   private readonly _asking = new Set<string>()
   private _checking: CancelTimer | undefined
   private _stopped = false
 
-  constructor (private readonly _options: QuarantineDeskOptions) {
+  constructor (private readonly _options: QuarantineCoordinatorOptions) {
     const { clock, log, probe, limits } = _options
     this._quarantine = new RequestQuarantine(limits)
-    this._detector = new EndDetector({ clock, log, probe, ended: (upstream, lost) => this._ended(upstream, lost) })
+    this._detector = new TerminationDetector({ clock, log, probe, ended: (upstream, lost) => this._ended(upstream, lost) })
   }
 
   get holdTime (): Ms { return this._quarantine.holdTime }
@@ -90,7 +90,7 @@
   lost (upstream: Upstream, request: string, broke: boolean): void { this._detector.lost(upstream, request, broke) }
 
   /** Notes a request that was answered whole. */
-  answered (request: string): void { this._quarantine.noteAnswered(request, this._now) }
+  answered (request: string): void { this._quarantine.recordAnswered(request, this._now) }
 
   /** The record of an upstream is gone, or names a later start. */
   recordGone (upstream: Upstream): void { this._detector.recordGone(upstream) }
@@ -105,17 +105,17 @@
   }
 
   /** Another entry has seen ends. */
-  heardEnds ({ ends }: EndsMessage): void {
+  receiveTerminations ({ ends }: TerminationsMessage): void {
     for (const { request, upstream, age } of ends) this._count(request, upstream, this._now - age)
   }
 
   /** Which requests were answered here lately. */
-  answeredOf ({ requests }: AnsweredQuery): readonly string[] {
-    return requests.filter(request => this._quarantine.answeredLately(request, this._now))
+  recentlyAnswered ({ requests }: AnsweredQuery): readonly string[] {
+    return requests.filter(request => this._quarantine.wasAnsweredRecently(request, this._now))
   }
 
   /** Another entry, or the one that this entry follows, holds requests back. */
-  heardHeld ({ requests }: HeldMessage): void {
+  receiveQuarantined ({ requests }: QuarantinedMessage): void {
     for (const request of requests) this._hold(request)
   }
 
@@ -130,7 +130,7 @@
 
   private get _others (): readonly PeerAddress[] { return this._options.entries().filter(({ node }) => node !== this._options.node) }
 
-  private _ended (upstream: Upstream, lost: readonly LostRequest[]): void {
+  private _ended (upstream: Upstream, lost: readonly InterruptedRequest[]): void {
     const entries = this._options.entries().map(({ node }) => node)
     for (const { request, at } of lost) {
       this._count(request, upstream.id, at)
@@ -151,7 +151,7 @@
     this._untold = new Map()
     for (const peer of this._others) {
       const ends = untold.get(peer.node)
-      if (ends !== undefined) this._send(peer, () => this._options.client.tellEnds(peer, { ends }))
+      if (ends !== undefined) this._send(peer, () => this._options.client.reportTerminations(peer, { ends }))
     }
   }
 
@@ -173,7 +173,7 @@
   }
 
   private _count (request: string, upstream: string, at: Ms): void {
-    if (!this._quarantine.noteEnd(request, { upstream, at }, this._now) || this._asking.has(request)) return
+    if (!this._quarantine.recordTermination(request, { upstream, at }, this._now) || this._asking.has(request)) return
     this._asking.add(request)
     this._judge(request).catch((error: Error) => {
       this._options.log.warn('request', 'not judged.', { fingerprint: request, error: error.message })
@@ -188,15 +188,15 @@
    */
   private async _judge (request: string): Promise<void> {
     const { client, log } = this._options
-    const answers = await Promise.all(this._others.map(peer => client.askAnswered(peer, { requests: [request] }).catch((error: Error) => {
+    const answers = await Promise.all(this._others.map(peer => client.queryAnswered(peer, { requests: [request] }).catch((error: Error) => {
       log.info('peers', 'not asked for answers.', { peer: peer.node, cause: error.message })
       return []
     })))
-    if (answers.flat().includes(request)) return this._quarantine.noteAnswered(request, this._now)
+    if (answers.flat().includes(request)) return this._quarantine.recordAnswered(request, this._now)
     if (!this._quarantine.hold(request, this._now)) return
-    log.warn('request', 'held back, upstreams ended under it.', { fingerprint: request, upstreams: this._quarantine.endsOf(request), holdTime: this._quarantine.holdTime })
+    log.warn('request', 'held back, upstreams ended under it.', { fingerprint: request, upstreams: this._quarantine.terminatedUpstreams(request), holdTime: this._quarantine.holdTime })
     this._options.held(request)
-    for (const peer of this._others) this._send(peer, () => this._options.client.tellHeld(peer, { requests: [request] }))
+    for (const peer of this._others) this._send(peer, () => this._options.client.notifyQuarantined(peer, { requests: [request] }))
     this._store(request)
     this._checkLater()
   }
@@ -235,7 +235,7 @@
     const { store, node, log } = this._options
     const granted = await store.grantLease(this.holdTime)
     if (granted.isErr()) return log.info('store', 'held request not stored.', { fingerprint: request, cause: granted.error.message })
-    const value = JSON.stringify({ by: node, upstreams: this._quarantine.endsOf(request) })
+    const value = JSON.stringify({ by: node, upstreams: this._quarantine.terminatedUpstreams(request) })
     const outcome = await store.commit({ conditions: [], puts: [{ key: `${quarantinePrefix}${request}`, value, lease: granted.value.lease }], removals: [] })
     if (outcome.isErr()) return log.info('store', 'held request not stored.', { fingerprint: request, cause: outcome.error.message })
     if (outcome.value.kind === 'stored') this._storedAt.set(request, this._now)
--- a/packages/direct/src/lib/load-news.ts
+++ b/packages/direct/src/lib/recent-loads.ts
@@ -10,7 +10,7 @@
 }
 
 /** Loads since an entry last heard. */
-export interface News {
+export interface RecentLoadsUpdate {
   /** What the entry has heard with this; it says so in its next ask. */
   readonly heard: number
   readonly loads: readonly LoadedAdapter[]
@@ -26,7 +26,7 @@
  * record, and a request for it would fetch it anew elsewhere, though a copy is at hand
  * here.
  */
-export class LoadNews {
+export class RecentLoads {
   private readonly _loads: LoadedAdapter[] = []
   private _count = 0
 
@@ -42,7 +42,7 @@
    *
    * @param heard - as told with the news before; 0 for an entry that has heard nothing
    */
-  since (heard: number): News {
+  since (heard: number): RecentLoadsUpdate {
     const missed = heard > this._count ? this._count : this._count - heard
     return { heard: this._count, loads: missed === 0 ? [] : this._loads.slice(-missed) }
   }
--- a/packages/direct/src/lib/relay-runner.ts
+++ b/packages/direct/src/lib/relay-runner.ts
@@ -2,14 +2,14 @@
  * Runs requests that were let in, and keeps what they share.
  */
 import type { Clock, Log, Ms } from '@hazelford/core'
-import { type AdapterWant, type ExchangeOutcome, type RelayFailure, type RouteTable, type SharedBudgetLimits, SharedRetryBudget } from '@hazelford/decisions'
+import { type RequestedAdapter, type ExchangeOutcome, type RelayFailure, type RouteTable, type SharedBudgetLimits, SharedRetryBudget } from '@hazelford/decisions'
 import type { CallCodec, Route } from '@hazelford/ports'
 import type { AdapterDirectory } from './adapter-directory.js'
-import type { ConfigHolder } from './config-holder.js'
+import type { CurrentConfig } from './current-config.js'
 import type { EntryMetrics } from './metrics.js'
-import type { NoticeDesk } from './notice-desk.js'
+import type { NoticeCoordinator } from './notice-coordinator.js'
 import type { Placer } from './placer.js'
-import type { QuarantineDesk } from './quarantine-desk.js'
+import type { QuarantineCoordinator } from './quarantine-coordinator.js'
 import { RelayTask } from './relay-task.js'
 import type { AdmittedCall } from './request-intake.js'
 import type { Upstream } from './upstream.js'
@@ -20,11 +20,11 @@
   readonly log: Log
   readonly metrics: EntryMetrics
   readonly codec: CallCodec
-  readonly config: ConfigHolder
+  readonly config: CurrentConfig
   readonly placer: Placer
   readonly directory: AdapterDirectory
-  readonly quarantine: QuarantineDesk
-  readonly notices: NoticeDesk
+  readonly quarantine: QuarantineCoordinator
+  readonly notices: NoticeCoordinator
   /** Entries that live. */
   readonly entries: () => number
   readonly budgetLimits: () => SharedBudgetLimits
@@ -43,14 +43,14 @@
   constructor (private readonly _options: RelayRunnerOptions) {}
 
   /** Takes changed bounds on repeats; what was spent stays spent. */
-  limitRepeats (limits: SharedBudgetLimits): void { for (const budget of this._budgets.values()) budget.limit(limits) }
+  updateRetryLimits (limits: SharedBudgetLimits): void { for (const budget of this._budgets.values()) budget.limit(limits) }
 
   /** Ends what is open of a request that is held back from now on. */
   hold (fingerprint: string): void {
     for (const task of [...this._open]) if (task.fingerprint === fingerprint) task.hold()
   }
 
-  private _wanted (table: RouteTable, service: string, model: string | undefined, adapter: string | undefined): AdapterWant | undefined {
+  private _wanted (table: RouteTable, service: string, model: string | undefined, adapter: string | undefined): RequestedAdapter | undefined {
     if (model === undefined || table.service(service)?.engine === undefined) return undefined
     if (adapter === undefined) return { model }
     const version = this._options.config.versionOf(model, adapter)
@@ -61,7 +61,7 @@
   run ({ incoming, call, route, service, table, isAllowed, refund }: AdmittedCall): void {
     const { clock, log, metrics, codec, placer, quarantine, notices, directory } = this._options
     const { id, model, adapter, patience } = call.facts
-    const wanted = (): AdapterWant | undefined => this._wanted(table, service, model, adapter)
+    const wanted = (): RequestedAdapter | undefined => this._wanted(table, service, model, adapter)
     const want = wanted()
     const budget = this._budgetOf(service)
     budget.request(clock.now())
@@ -76,13 +76,13 @@
       place: query => placer.place(query),
       takeRepeat: () => this._takeRepeat(budget, id),
       isAllowed,
-      isHeld: fingerprint => quarantine.holds(fingerprint),
+      isQuarantined: fingerprint => quarantine.holds(fingerprint),
       answerLost: (upstream, fingerprint, broke) => quarantine.lost(upstream, fingerprint, broke),
-      noticed: (upstream, notice, took) => notices.take(upstream, notice, took),
+      noticed: (upstream, notice, took) => notices.applyNotice(upstream, notice, took),
       retryAfter: failure => this._retryAfter(failure),
       adapterBroken: (upstream, broken) => directory.broken(upstream, broken),
       exchanged: (upstream, outcome, latency, stay) => {
-        if (outcome === 'answered') placer.noteStay(service, stay)
+        if (outcome === 'answered') placer.recordServiceTime(service, stay)
         this._exchanged(upstream, outcome, latency, route)
       },
       over: ({ end, sends, firstData, longestGap, notRun }) => {
--- a/packages/direct/src/lib/relay-task.ts
+++ b/packages/direct/src/lib/relay-task.ts
@@ -2,8 +2,8 @@
  * Drives one request: performs what its decisions ask for.
  */
 import { assertNever, type CancelTimer, type Clock, type Log, type Ms, Task } from '@hazelford/core'
-import { type AdapterWant, type ExchangeOutcome, isSuspect, type RelayEffect, type RelayFailure, relayFlow, type RelayMessage, wantKey } from '@hazelford/decisions'
-import type { CallCodec, CallFacts, Route, UpstreamNotice } from '@hazelford/ports'
+import { type RequestedAdapter, type ExchangeOutcome, mayHaveCausedTermination, type RelayEffect, type RelayFailure, relayFlow, type RelayMessage, requestedAdapterKey } from '@hazelford/decisions'
+import type { CallCodec, CallMetadata, Route, UpstreamNotice } from '@hazelford/ports'
 import type { CallerAnswer } from './caller-answer.js'
 import { type AnswerHead, Exchange, type WholeAnswer } from './exchange.js'
 import type { Placed, PlaceQuery, PlaceWaits } from './placer.js'
@@ -11,8 +11,8 @@
 import type { Upstream } from './upstream.js'
 
 /** A request that was read whole. */
-export interface ReadCall {
-  readonly facts: CallFacts
+export interface BufferedCall {
+  readonly facts: CallMetadata
   readonly method: string
   readonly host: string
   readonly path: string
@@ -43,24 +43,24 @@
 }
 
 /** What a request needs of its entry. */
-export interface RelayDepsOfEntry {
+export interface RelayTaskOptions {
   readonly clock: Clock
   readonly log: Log
   readonly codec: CallCodec
   /** The adapter that it needs, in the version declared now. */
-  readonly want: () => AdapterWant | undefined
+  readonly want: () => RequestedAdapter | undefined
   readonly place: (query: PlaceQuery) => Promise<Placed>
   readonly takeRepeat: () => boolean
   /** Whether its caller may still send it. */
   readonly isAllowed: () => boolean
   /** Whether a request is held back, since upstreams end under it. */
-  readonly isHeld: (fingerprint: () => string) => boolean
+  readonly isQuarantined: (fingerprint: () => string) => boolean
   /** An upstream gave no answer, or no more of it, soon after it had the request; `broke`: its connection has ended. */
   readonly answerLost: (upstream: Upstream, fingerprint: string, broke: boolean) => void
   /** What an answer says of its upstream; `took`: ms from the send to the answer's head. */
   readonly noticed: (upstream: Upstream, notice: UpstreamNotice, took: Ms) => void
   readonly retryAfter: (failure: RelayFailure) => Ms
-  readonly adapterBroken: (upstream: string, want: AdapterWant) => void
+  readonly adapterBroken: (upstream: string, want: RequestedAdapter) => void
   /** `stay`: ms from the send to its end. */
   readonly exchanged: (upstream: Upstream, outcome: ExchangeOutcome, latency: Ms | undefined, stay: Ms) => void
   readonly over: (summary: RelaySummary) => void
@@ -102,7 +102,7 @@
   private _refund: () => void = () => {}
   /** Ms until a place can be expected, where that is known. */
   private _retryAfter: Ms | undefined
-  private _want: AdapterWant | undefined
+  private _want: RequestedAdapter | undefined
   private _whole: WholeAnswer | undefined
   private _held: WholeAnswer | undefined
   private _head: AnswerHead | undefined
@@ -124,11 +124,11 @@
   private _stall: 'none' | 'placing' | 'over' | 'unplaced' = 'none'
 
   constructor (
-    private readonly _call: ReadCall,
+    private readonly _call: BufferedCall,
     private readonly _route: Route,
     private readonly _service: string,
     private readonly _answer: CallerAnswer,
-    private readonly _deps: RelayDepsOfEntry
+    private readonly _deps: RelayTaskOptions
   ) {
     this._deadline = _call.arrivedAt + Math.min(_call.facts.patience ?? Infinity, _route.timeout)
     this._lastEventId = _call.facts.lastEventId
@@ -136,9 +136,9 @@
 
   /** Begins to look for an upstream. */
   start (): void {
-    const { clock, isHeld, isAllowed, takeRepeat } = this._deps
+    const { clock, isQuarantined: isHeld, isAllowed, takeRepeat } = this._deps
     this._cancelTimeout = clock.after(this._deadline + timeoutMargin - clock.now(), () => this._post({ kind: 'timeout' }))
-    this._task = new Task(relayFlow(this._route, { takeRepeat, isAllowed, isHeld: () => isHeld(() => this.fingerprint) }), effect => this._perform(effect))
+    this._task = new Task(relayFlow(this._route, { takeRepeat, isAllowed, isQuarantined: () => isHeld(() => this.fingerprint) }), effect => this._perform(effect))
   }
 
   /** The same for each attempt at this request. */
@@ -174,7 +174,7 @@
   private _perform (effect: RelayEffect): void {
     const { log } = this._deps
     switch (effect.kind) {
-      case 'place': return this._place(effect.avoid, effect.again)
+      case 'place': return this._place(effect.avoid, effect.retryUpstream)
       case 'send': return this._send()
       case 'abandon': return this._abandon()
       case 'wait':
@@ -249,7 +249,7 @@
     const sends = this._sends
     this._takePlace(placed)
     if (placed.kind !== 'placed' || this._sends > sends) return
-    placed.upstream.placeUnused()
+    placed.upstream.recordUnusedSlot()
     placed.refund()
   }
 
@@ -279,8 +279,8 @@
     this._dataHereSince = undefined
     const resumed = this._answer.begun ? this._lastEventId : undefined
     log.info('request', 'sent.', { request: facts.id, upstream: upstream.id, send: this._sends, waited: Math.round(sentAt - this._call.arrivedAt), ...this._waitFields(), outstanding: upstream.outstanding, rateLimit: upstream.notices.limit.rate, version: this._version, resumedAfter: resumed })
-    const release = upstream.open(this._want?.adapter === undefined ? undefined : wantKey(this._want))
-    if (this._want !== undefined) upstream.sentPrompt(facts.promptTokens)
+    const release = upstream.open(this._want?.adapter === undefined ? undefined : requestedAdapterKey(this._want))
+    if (this._want !== undefined) upstream.recordPrompt(facts.promptTokens)
     const close = (outcome: ExchangeOutcome, latency?: Ms): void => {
       release()
       this._deps.exchanged(upstream, outcome, latency, clock.now() - sentAt)
@@ -346,7 +346,7 @@
       data: (bytes, lastEventId) => this._data(bytes, lastEventId),
       end: () => {
         close('answered', first())
-        if (this._sends === 1) upstream.streamEnded(this._longestGap > this._route.gapTarget && this._route.gapTarget > 0)
+        if (this._sends === 1) upstream.recordStream(this._longestGap > this._route.gapTarget && this._route.gapTarget > 0)
         if (!this._answer.begun && this._head !== undefined) this._post({ kind: 'streaming' })
         this._post({ kind: 'stream-ended' })
       }
@@ -356,7 +356,7 @@
   /** Parts of the wait of a stream that needed an adapter, for the log. */
   private _waitFields (): object {
     if (this._waits === undefined) return {}
-    return { forAdapter: Math.round(this._waits.adapter), atDoor: Math.round(this._waits.door) }
+    return { forAdapter: Math.round(this._waits.adapter), atDoor: Math.round(this._waits.admissionWait) }
   }
 
   private _closeExchange: () => void = () => {}
@@ -370,7 +370,7 @@
   /** Tells that this request may be what ends its upstream, if that turns out to have ended. */
   private _suspect (upstream: Upstream, broke: boolean): void {
     const answeredFor = this._dataHereSince === undefined ? 0 : this._dataAt! - this._dataHereSince
-    if (isSuspect(answeredFor)) this._deps.answerLost(upstream, this.fingerprint, broke)
+    if (mayHaveCausedTermination(answeredFor)) this._deps.answerLost(upstream, this.fingerprint, broke)
   }
 
   private _noteStall (upstream: Upstream, cause: string, after: Ms): void {
--- a/packages/direct/src/lib/request-intake.ts
+++ b/packages/direct/src/lib/request-intake.ts
@@ -1,19 +1,19 @@
 /**
  * Lets requests in: finds their route, and whose they are.
  */
-import { type Clock, type Log, type Ms, shownKey } from '@hazelford/core'
+import { type Clock, type Log, type Ms, abbreviateKeyDigest } from '@hazelford/core'
 import { type CallerIdentity, identifyCaller, pickService, type RouteTable } from '@hazelford/decisions'
-import type { CallCodec, CallFacts, Credential, Organisation, Route } from '@hazelford/ports'
-import type { Incoming } from './caller-server.js'
-import type { ConfigProver } from './config-prover.js'
+import type { CallCodec, CallMetadata, Credential, Organisation, Route } from '@hazelford/ports'
+import type { IncomingRequest } from './caller-server.js'
+import type { ConfigVerifier } from './config-verifier.js'
 import type { EntryMetrics } from './metrics.js'
-import type { ReadCall } from './relay-task.js'
-import type { Admission } from './usage-line.js'
+import type { BufferedCall } from './relay-task.js'
+import type { Admission } from './credit-queue.js'
 
 /** A request that may run. */
 export interface AdmittedCall {
-  readonly incoming: Incoming
-  readonly call: ReadCall
+  readonly incoming: IncomingRequest
+  readonly call: BufferedCall
   readonly route: Route
   readonly service: string
   /** The configuration by which it was let in. */
@@ -25,7 +25,7 @@
 }
 
 /** What the intake needs of its entry. */
-export interface IntakeOptions {
+export interface RequestIntakeOptions {
   readonly clock: Clock
   readonly log: Log
   readonly metrics: EntryMetrics
@@ -34,7 +34,7 @@
   readonly table: () => RouteTable | undefined
   /** Whether nothing more is taken, since the entry ends soon. */
   readonly refusing: () => boolean
-  readonly prover: ConfigProver
+  readonly verifier: ConfigVerifier
   readonly viewAge: () => Ms
   /** Ms after its acceptance in which a change must be in force. */
   readonly applyWithin: () => Ms
@@ -51,10 +51,10 @@
 
 /** Takes requests of callers. */
 export class RequestIntake {
-  constructor (private readonly _options: IntakeOptions) {}
+  constructor (private readonly _options: RequestIntakeOptions) {}
 
   /** Takes a request that was read whole. */
-  take (incoming: Incoming): void {
+  handle (incoming: IncomingRequest): void {
     const { metrics, refusing } = this._options
     const table = this._options.table()
     if (table === undefined) return incoming.answer.fail({ kind: 'no-config', retryAfter: noConfigRetryAfter })
@@ -65,44 +65,44 @@
     if (table.config.access.kind === 'anyone') return this._identified(incoming, table, { kind: 'absent' })
     const credential = this._options.codec.readCredential(incoming.headers)
     if (!this._mustProve(incoming, table, credential)) {
-      this._options.prover.refresh()
+      this._options.verifier.refresh()
       return this._identified(incoming, table, credential)
     }
-    this._options.prover.prove().then(
+    this._options.verifier.verify().then(
       () => this._proved(incoming, credential),
       (error: Error) => this._options.log.warn('config', 'not proved.', { error: error.message })
     )
   }
 
   /** Whether the configuration at hand may be too old to decide by. */
-  private _mustProve (incoming: Incoming, table: RouteTable, credential: Credential): boolean {
-    const { prover, viewAge, applyWithin } = this._options
-    if (!prover.isProven) return !this._isPublic(incoming, table)
+  private _mustProve (incoming: IncomingRequest, table: RouteTable, credential: Credential): boolean {
+    const { verifier: prover, viewAge, applyWithin } = this._options
+    if (!prover.isFresh) return !this._isPublic(incoming, table)
     // A key that was added is refused for as long as the change is not heard here, and callers don't repeat what got 401.
     const isUnknown = credential.kind === 'key' && table.organisationOf(credential.digest) === undefined
     return isUnknown && viewAge() > applyWithin()
   }
 
-  private _isPublic ({ host, target }: Incoming, table: RouteTable): boolean { return table.match(host, target)?.public === true }
+  private _isPublic ({ host, target }: IncomingRequest, table: RouteTable): boolean { return table.match(host, target)?.public === true }
 
-  private _proved (incoming: Incoming, credential: Credential): void {
-    const { prover, log, metrics, viewAge } = this._options
+  private _proved (incoming: IncomingRequest, credential: Credential): void {
+    const { verifier: prover, log, metrics, viewAge } = this._options
     const table = this._options.table()
     // Its caller may have left while the question was under way.
     if (table === undefined || incoming.answer.ended || incoming.isGone()) return
-    if (prover.isProven || this._isPublic(incoming, table)) return this._identified(incoming, table, credential)
+    if (prover.isFresh || this._isPublic(incoming, table)) return this._identified(incoming, table, credential)
     metrics.requests.inc({ kind: 'none', end: 'config-unproven' })
     log.info('request', 'configuration too old to let callers in.', { request: this._idOf(incoming), age: Math.round(viewAge()), version: table.version })
     incoming.answer.fail({ kind: 'config-unproven', retryAfter: unprovenRetryAfter })
   }
 
   /** Names a request in logs, where it can be read. */
-  private _idOf ({ headers }: Incoming): string | undefined {
+  private _idOf ({ headers }: IncomingRequest): string | undefined {
     const facts = this._options.codec.readCall(headers)
     return facts.isOk() ? facts.value.id : undefined
   }
 
-  private _identified (incoming: Incoming, table: RouteTable, credential: Credential): void {
+  private _identified (incoming: IncomingRequest, table: RouteTable, credential: Credential): void {
     const { log, metrics } = this._options
     const route = table.match(incoming.host, incoming.target)
     if (route === undefined) {
@@ -115,14 +115,14 @@
     this._read(incoming, table, route, credential, identity)
   }
 
-  private _unauthorised (incoming: Incoming, table: RouteTable, route: Route, credential: Credential, { cause }: CallerIdentity & { readonly kind: 'unauthorised' }): void {
+  private _unauthorised (incoming: IncomingRequest, table: RouteTable, route: Route, credential: Credential, { cause }: CallerIdentity & { readonly kind: 'unauthorised' }): void {
     const { log, metrics, viewAge } = this._options
-    log.info('request', 'unauthorised.', { request: this._idOf(incoming), route: route.name, cause, key: credential.kind === 'key' ? shownKey(credential.digest) : undefined, version: table.version, age: Math.round(viewAge()) })
+    log.info('request', 'unauthorised.', { request: this._idOf(incoming), route: route.name, cause, key: credential.kind === 'key' ? abbreviateKeyDigest(credential.digest) : undefined, version: table.version, age: Math.round(viewAge()) })
     metrics.requests.inc({ kind: route.kind, end: 'unauthorised' })
     incoming.answer.fail({ kind: 'unauthorised', cause })
   }
 
-  private _read (incoming: Incoming, table: RouteTable, route: Route, credential: Credential, identity: CallerIdentity & { readonly kind: 'anyone' | 'organisation' }): void {
+  private _read (incoming: IncomingRequest, table: RouteTable, route: Route, credential: Credential, identity: CallerIdentity & { readonly kind: 'anyone' | 'organisation' }): void {
     const { log, codec } = this._options
     const facts = codec.readCall(incoming.headers)
     if (facts.isErr()) {
@@ -132,7 +132,7 @@
     const service = pickService(route, facts.value.id)
     if (service === undefined) return incoming.answer.fail({ kind: 'no-route' })
     const organisation = identity.kind === 'organisation' ? identity.organisation : undefined
-    const call: ReadCall = {
+    const call: BufferedCall = {
       ...incoming,
       facts: facts.value,
       path: incoming.target,
@@ -148,7 +148,7 @@
   }
 
   /** Takes the request's usage, and lets it in if it is within its organisation's limit. */
-  private _charge (incoming: Incoming, route: Route, organisation: Organisation, facts: CallFacts, relay: (refund: () => void) => void): void {
+  private _charge (incoming: IncomingRequest, route: Route, organisation: Organisation, facts: CallMetadata, relay: (refund: () => void) => void): void {
     const { admit, log, metrics } = this._options
     const decided = (admission: Admission): void => {
       if (admission.kind === 'admitted') {
@@ -162,7 +162,7 @@
       metrics.countOrganisation(organisation.name, 'over-limit')
       incoming.answer.fail({ kind: 'over-limit', organisation: organisation.name, retryAfter })
     }
-    const admission = admit(organisation, facts.namesTokens ? facts.promptTokens + facts.maxOutputTokens : undefined)
+    const admission = admit(organisation, facts.declaresTokens ? facts.promptTokens + facts.maxOutputTokens : undefined)
     // In one turn with its reading, the end of its connection can't have been missed.
     if (!(admission instanceof Promise)) decided(admission)
     else admission.then(decided, (error: Error) => log.warn('request', 'not charged.', { request: facts.id, error: error.message }))
