--- a/packages/direct/src/lib/serve-peers.ts
+++ b/packages/direct/src/lib/serve-peers.ts
@@ -9,9 +9,9 @@
 import type { FeedAnswer } from './change-feed.js'
 import { compression, readJson } from './json-client.js'
 import { type NoticeMessage, readNotices } from './notice-messages.js'
-import { type AnsweredQuery, type AskMessage, type AskReply, type ChangesMessage, type EndsMessage, type HeldMessage, type LimitReply, type LimitReport, type PeerAskOutcome, peerPaths, type TakenMessage, type UseMessage } from './peer-messages.js'
+import { type AnsweredQuery, type LoadRequestMessage, type LoadRequestReply, type ChangesMessage, type TerminationsMessage, type QuarantinedMessage, type LimitReply, type LimitReport, type PeerLoadRequestOutcome, peerPaths, type TakeoverMessage, type UseMessage } from './peer-messages.js'
 import type { ConfigAge, PeerState } from './peer-state.js'
-import type { UsageMessage } from './usage-desk.js'
+import type { UsageMessage } from './usage-coordinator.js'
 import { readUsageMessage } from './usage-messages.js'
 
 /** Longest time that a question for changes is held. */
@@ -25,12 +25,12 @@
 
 /** What an entry does for its peers. */
 export interface PeerService {
-  readonly ask: (msg: AskMessage) => Promise<PeerAskOutcome>
-  readonly noteUse: (msg: UseMessage) => void
+  readonly requestLoad: (msg: LoadRequestMessage) => Promise<PeerLoadRequestOutcome>
+  readonly recordUse: (msg: UseMessage) => void
   /** Another entry orders an engine from now on. */
-  readonly taken: (msg: TakenMessage) => void
-  readonly heardEnds: (msg: EndsMessage) => void
-  readonly heardHeld: (msg: HeldMessage) => void
+  readonly receiveTakeover: (msg: TakeoverMessage) => void
+  readonly receiveTerminations: (msg: TerminationsMessage) => void
+  readonly receiveQuarantined: (msg: QuarantinedMessage) => void
   /** Which of some requests were answered whole here lately. */
   readonly answered: (msg: AnsweredQuery) => readonly string[]
   readonly now: () => Ms
@@ -45,7 +45,7 @@
   /** Lends an entry requests to upstreams that name a limit. */
   readonly reportLimits: (msg: LimitReport) => LimitReply
   /** Upstreams have told another entry something of themselves. */
-  readonly heardNotices: (msg: NoticeMessage) => void
+  readonly receiveNotices: (msg: NoticeMessage) => void
 }
 
 /** What a peer is answered. */
@@ -81,7 +81,7 @@
 function answerNotices (service: PeerService, body: unknown): PeerAnswer {
   const notices = readNotices(body)
   if (notices === undefined) return malformed('These are no words of upstreams.')
-  service.heardNotices({ notices })
+  service.receiveNotices({ notices })
   return ok()
 }
 
@@ -93,11 +93,11 @@
 
 async function answerPost (service: PeerService, path: string, body: unknown): Promise<PeerAnswer | undefined> {
   switch (path) {
-    case peerPaths.ask: return ok(toReply(await service.ask(body as AskMessage), service.now()))
-    case peerPaths.use: return take(service.noteUse, body)
-    case peerPaths.taken: return take(service.taken, body)
-    case peerPaths.ends: return take(service.heardEnds, body)
-    case peerPaths.held: return take(service.heardHeld, body)
+    case peerPaths.ask: return ok(toReply(await service.requestLoad(body as LoadRequestMessage), service.now()))
+    case peerPaths.use: return take(service.recordUse, body)
+    case peerPaths.taken: return take(service.receiveTakeover, body)
+    case peerPaths.ends: return take(service.receiveTerminations, body)
+    case peerPaths.held: return take(service.receiveQuarantined, body)
     case peerPaths.answered: return ok({ answered: service.answered(body as AnsweredQuery) })
     case peerPaths.usage: return answerUsage(service, body)
     case peerPaths.limits: return answerLimits(service, body)
@@ -124,7 +124,7 @@
   res.end(bytes)
 }
 
-function toReply (outcome: PeerAskOutcome, now: Ms): AskReply {
+function toReply (outcome: PeerLoadRequestOutcome, now: Ms): LoadRequestReply {
   if (outcome.kind !== 'ready') return outcome
   const { until, ...rest } = outcome
   return { ...rest, lasts: until - now }
--- a/packages/direct/src/lib/store-follower.ts
+++ b/packages/direct/src/lib/store-follower.ts
@@ -2,7 +2,7 @@
  * Hears of changes in the store from entries that watch it.
  */
 import { type Clock, type Instant, instantOf, type Log, type Ms } from '@hazelford/core'
-import type { StoreDuty } from '@hazelford/decisions'
+import type { StoreRole } from '@hazelford/decisions'
 import type { FeedAnswer, FeedChanges } from './change-feed.js'
 import type { PeerAddress } from './peer-table.js'
 
@@ -10,7 +10,7 @@
 export interface StoreFollowerOptions {
   readonly clock: Clock
   readonly log: Log
-  readonly duty: () => StoreDuty
+  readonly role: () => StoreRole
   readonly peer: (node: string) => PeerAddress | undefined
   readonly ask: (peer: PeerAddress, after: number, wait: Ms) => Promise<FeedAnswer>
   /** Age of the watcher's news beyond which they are too old to go by. */
@@ -44,11 +44,11 @@
    * @returns undefined when the store must be asked: this entry watches, or no watcher knows better
    */
   async changes (after: number): Promise<FollowedChanges | undefined> {
-    const { clock, duty, peer } = this._options
+    const { clock, role: duty, peer } = this._options
     const own = duty()
     if (own.kind === 'watch') return undefined
     const now = clock.now()
-    const open = own.from.filter(node => (this._avoided.get(node) ?? -Infinity) <= now)
+    const open = own.watchersToAsk.filter(node => (this._avoided.get(node) ?? -Infinity) <= now)
     for (const node of open.slice(0, maxAsked)) {
       const address = peer(node)
       const changes = address === undefined ? undefined : await this._ask(address, after)
--- a/packages/direct/src/lib/store-mirror.ts
+++ b/packages/direct/src/lib/store-mirror.ts
@@ -2,13 +2,13 @@
  * Follows what stands in the store.
  */
 import { type Clock, type Instant, instantOf, type Log, type Ms, sleep } from '@hazelford/core'
-import { fullJitter, type StoreDuty, type ViewAge } from '@hazelford/decisions'
+import { fullJitter, type StoreRole, type ViewAge } from '@hazelford/decisions'
 import type { Store, StoreChanges, StoreEvent, StoreItem, StoreListing } from '@hazelford/ports'
 import { ChangeFeed } from './change-feed.js'
 import type { FollowedChanges } from './store-follower.js'
 
 /** Hears of the store. */
-export interface MirrorListener {
+export interface StoreMirrorListener {
   /** All items. */
   readonly reset: (items: readonly StoreItem[]) => void
   readonly changed: (event: StoreEvent) => void
@@ -46,12 +46,12 @@
 const servedWatchWait: Ms = 600
 
 /** What a mirror needs. */
-export interface MirrorOptions {
+export interface StoreMirrorOptions {
   readonly store: Store
   readonly clock: Clock
   readonly log: Log
   /** What this entry and the others do at the store. */
-  readonly duty: () => StoreDuty
+  readonly role: () => StoreRole
   /** Changes after a revision as another entry has heard them; undefined when the store must be asked. */
   readonly follow: (after: number) => Promise<FollowedChanges | undefined>
   /** As of when the view is complete. */
@@ -72,7 +72,7 @@
   /** For entries that follow this one. */
   readonly feed: ChangeFeed
 
-  constructor (private readonly _options: MirrorOptions, private readonly _listener: MirrorListener) {
+  constructor (private readonly _options: StoreMirrorOptions, private readonly _listener: StoreMirrorListener) {
     const { clock, viewAge } = _options
     this.feed = new ChangeFeed(clock, () => this.age(clock.now()), () => viewAge.at(instantOf(clock)))
   }
@@ -83,7 +83,7 @@
    * Reads everything at the next turn instead of going on with the watch. Changes since our revision
    * would be played again over a newer view that came from elsewhere.
    */
-  readAnew (): void { this._anew = true }
+  scheduleRelist (): void { this._anew = true }
 
   /** Whether the store has been read. */
   get known (): boolean { return this._known }
@@ -108,25 +108,25 @@
   }
 
   /** Longest ms between two answers of a store that does well. */
-  get turn (): Ms { return this._watchWait + this._gatherPause }
+  get maxAnswerInterval (): Ms { return this._watchWait + this._gatherPause }
 
   private get _gatherPause (): Ms { return Math.min(this._options.applyWithin() * gatherShare, gatherBase + gatherEach * this._watchers) }
 
   private _pause (delay: Ms): Promise<void> { return sleep(this._options.clock, delay) }
 
   private get _watchWait (): Ms {
-    const duty = this._options.duty()
-    return duty.kind === 'watch' && duty.served ? servedWatchWait : watchWait
+    const duty = this._options.role()
+    return duty.kind === 'watch' && duty.hasFollowers ? servedWatchWait : watchWait
   }
 
   /** Entries that share the store's rate. */
   private get _watchers (): number {
-    const duty = this._options.duty()
-    return duty.kind === 'watch' ? duty.watchers : duty.from.length
+    const duty = this._options.role()
+    return duty.kind === 'watch' ? duty.watchers : duty.watchersToAsk.length
   }
 
   /** Age beyond which the news of a watcher that others follow are late. */
-  get servedTurn (): Ms { return servedWatchWait + this._gatherPause + turnMargin }
+  get maxServedInterval (): Ms { return servedWatchWait + this._gatherPause + turnMargin }
 
   private async _list (): Promise<'heard' | 'failed'> {
     const asked = this._instant
--- a/packages/direct/src/lib/store-view.ts
+++ b/packages/direct/src/lib/store-view.ts
@@ -2,17 +2,17 @@
  * What one entry knows from the store, by whichever way it hears of it.
  */
 import { type Clock, type Instant, instantOf, type Log, type Ms } from '@hazelford/core'
-import { type RouteTable, storeDuty, type StoreDuty, ViewAge } from '@hazelford/decisions'
+import { type RouteTable, storeRole, type StoreRole, ViewAge } from '@hazelford/decisions'
 import type { AdapterVersion, StoreEvent, StoreItem, UpstreamRecord } from '@hazelford/ports'
 import { type FeedAnswer, longestAge } from './change-feed.js'
-import { ConfigHolder } from './config-holder.js'
+import { CurrentConfig } from './current-config.js'
 import { Membership, type MembershipListener } from './membership.js'
 import type { PeerClient } from './peer-client.js'
 import { PeerFollower } from './peer-follower.js'
-import { type ConfigAge, learnFromPeers, type PeerState } from './peer-state.js'
-import { ownPrefix, type PeerAddress, PeerTable } from './peer-table.js'
+import { type ConfigAge, fetchStateFromPeers, type PeerState } from './peer-state.js'
+import { systemKeyPrefix, type PeerAddress, PeerTable } from './peer-table.js'
 import type { PlatformPort } from './platform-port.js'
-import { quarantinePrefix } from './quarantine-desk.js'
+import { quarantinePrefix } from './quarantine-coordinator.js'
 import { StoreFollower } from './store-follower.js'
 import { StoreMirror } from './store-mirror.js'
 
@@ -35,9 +35,9 @@
   readonly configured: (table: RouteTable) => void
   readonly declared: (version: AdapterVersion) => void
   /** A request stands in the store as held back, under this key. */
-  readonly heldInStore: (key: string) => void
+  readonly quarantinedInStore: (key: string) => void
   /** A peer holds requests back. */
-  readonly heldByPeer: (requests: readonly string[]) => void
+  readonly quarantinedByPeer: (requests: readonly string[]) => void
   /** Upstreams, entries or holders have changed. */
   readonly changed: () => void
 }
@@ -47,7 +47,7 @@
 
 /** Configuration, upstreams, entries and holders. */
 export class StoreView {
-  readonly config: ConfigHolder
+  readonly config: CurrentConfig
   readonly members: Membership
   readonly peers: PeerTable
   private readonly _viewAge = new ViewAge()
@@ -56,7 +56,7 @@
 
   constructor (private readonly _options: StoreViewOptions, private readonly _listener: StoreViewListener) {
     const { platform, clock, log, client, node } = _options
-    this.config = new ConfigHolder(platform, log, _listener)
+    this.config = new CurrentConfig(platform, log, _listener)
     this.members = new Membership(clock, log, _listener)
     this.peers = new PeerTable(clock, () => _listener.changed())
     this._mirror = this._createMirror()
@@ -66,8 +66,8 @@
       client,
       peers: () => this.peers.entries.filter(entry => entry.node !== node),
       age: () => this._age,
-      turn: () => this._mirror.turn,
-      take: (state, asked) => this._follow(state, asked)
+      maxAnswerInterval: () => this._mirror.maxAnswerInterval,
+      apply: (state, asked) => this._follow(state, asked)
     })
   }
 
@@ -91,7 +91,7 @@
    *
    * @returns ends, each, when an answer is in force or none came
    */
-  askConfig (): readonly Promise<void>[] {
+  queryConfig (): readonly Promise<void>[] {
     const others = this.peers.entries.filter(({ node }) => node !== this._options.node)
     const from = Math.floor(Math.random() * others.length)
     const asked = Array.from({ length: Math.min(peersAsked, others.length) }, (_, n) => others[(from + n) % others.length]!)
@@ -121,14 +121,14 @@
 
   private get _age (): Ms { return this._mirror.age(this._options.clock.now()) }
 
-  private get _duty (): StoreDuty { return storeDuty(this._options.node, this.peers.entries) }
+  private get _duty (): StoreRole { return storeRole(this._options.node, this.peers.entries) }
 
   /** @param seeds - where peers may be found while the store is away */
   start (seeds: readonly { readonly host: string, readonly port: number }[]): void {
     const { client, clock, log } = this._options
     this._mirror.start()
     this._follower.start()
-    learnFromPeers(seeds, client, clock, log, () => this._mirror.known, (state, asked) => this._takeState(state, asked))
+    fetchStateFromPeers(seeds, client, clock, log, () => this._mirror.known, (state, asked) => this._takeState(state, asked))
       .catch((error: Error) => log.warn('peers', 'not asked.', { error: error.message }))
   }
 
@@ -161,16 +161,16 @@
     const follower = new StoreFollower({
       clock,
       log,
-      duty: () => this._duty,
+      role: () => this._duty,
       peer: node => this.peers.entry(node),
       ask: (peer, after, wait) => client.changes(peer, after, wait),
-      bound: () => this._mirror.servedTurn
+      bound: () => this._mirror.maxServedInterval
     })
     return new StoreMirror({
       store: platform.store,
       clock,
       log,
-      duty: () => this._duty,
+      role: () => this._duty,
       follow: after => follower.changes(after),
       applyWithin,
       viewAge: this._viewAge
@@ -187,8 +187,8 @@
     const under = (prefix: string): readonly StoreItem[] => items.filter(({ key }) => key.startsWith(prefix))
     this.config.reset(under(operators))
     this.members.reset(under(upstreams).flatMap(item => this._decodeUpstream(item)))
-    for (const { key } of under(quarantinePrefix)) this._listener.heldInStore(key)
-    this.peers.reset(under(ownPrefix).filter(({ key }) => !key.startsWith(quarantinePrefix)))
+    for (const { key } of under(quarantinePrefix)) this._listener.quarantinedInStore(key)
+    this.peers.reset(under(systemKeyPrefix).filter(({ key }) => !key.startsWith(quarantinePrefix)))
   }
 
   private _changed (event: StoreEvent): void {
@@ -197,7 +197,7 @@
     if (key.startsWith(operators)) this.config.apply(event)
     else if (key.startsWith(upstreams)) this._upstreamChanged(event)
     else if (key.startsWith(quarantinePrefix)) this._quarantineChanged(event)
-    else if (key.startsWith(ownPrefix)) this.peers.apply(event)
+    else if (key.startsWith(systemKeyPrefix)) this.peers.apply(event)
   }
 
   /**
@@ -205,7 +205,7 @@
    * clock.
    */
   private _quarantineChanged (event: StoreEvent): void {
-    if (event.kind === 'put') this._listener.heldInStore(event.item.key)
+    if (event.kind === 'put') this._listener.quarantinedInStore(event.item.key)
   }
 
   private _upstreamChanged (event: StoreEvent): void {
@@ -237,14 +237,14 @@
     this._takeConfig(state, asked)
     this.members.follow(state.upstreams)
     this.peers.follow(state.entries, state.holders)
-    this._mirror.readAnew()
+    this._mirror.scheduleRelist()
   }
 
   private _takeConfig ({ config, versions, heldRequests, viewAge }: PeerState, asked: Instant): void {
-    this._listener.heldByPeer(heldRequests ?? [])
+    this._listener.quarantinedByPeer(heldRequests ?? [])
     // A configuration of an entry that knows no keys does not say who may send requests. Taken, it would let anyone in.
     if (config.access !== undefined) {
-      this.config.offer(config)
+      this.config.applyIfNewer(config)
       this._viewAge.answered(asked, viewAge ?? Infinity, this._instant)
     }
     for (const version of versions) this.config.declare(version)
--- a/packages/direct/src/lib/end-detector.ts
+++ b/packages/direct/src/lib/termination-detector.ts
@@ -6,7 +6,7 @@
 import type { Upstream } from './upstream.js'
 
 /** A request that an upstream had when it ended. */
-export interface LostRequest {
+export interface InterruptedRequest {
   /** Its fingerprint. */
   readonly request: string
   /** When its answer was lost. */
@@ -14,13 +14,13 @@
 }
 
 /** What the detector needs of its entry. */
-export interface EndDetectorOptions {
+export interface TerminationDetectorOptions {
   readonly clock: Clock
   readonly log: Log
   /** Asks whether anybody listens at an upstream's address. */
   readonly probe: (upstream: Upstream) => Promise<ProbeOutcome>
   /** Hears of an upstream that has ended. */
-  readonly ended: (upstream: Upstream, lost: readonly LostRequest[]) => void
+  readonly ended: (upstream: Upstream, lost: readonly InterruptedRequest[]) => void
 }
 
 /** How it showed that an upstream has ended. */
@@ -47,10 +47,10 @@
  * if its upstream has ended too. That shows at once, when nobody listens at its address any more, or some seconds later, when
  * its record goes or names a later start.
  */
-export class EndDetector {
+export class TerminationDetector {
   private readonly _suspicions = new Map<Upstream, Suspicion>()
 
-  constructor (private readonly _options: EndDetectorOptions) {}
+  constructor (private readonly _options: TerminationDetectorOptions) {}
 
   /**
    * Notes a request whose answer was lost, or is not coming, at an upstream.
--- a/packages/direct/src/lib/upstream.ts
+++ b/packages/direct/src/lib/upstream.ts
@@ -2,11 +2,11 @@
  * One incarnation of an upstream, as this entry uses it.
  */
 import type { Clock, Ms } from '@hazelford/core'
-import { promptTokensPerMs, UpstreamHealth, UpstreamNotices, wantKey } from '@hazelford/decisions'
+import { promptTokensPerMs, UpstreamHealth, UpstreamNotices, requestedAdapterKey } from '@hazelford/decisions'
 import type { UpstreamRecord } from '@hazelford/ports'
 import { ConnectionPool } from './connection-pool.js'
 import type { EngineLoad } from './engine-admission.js'
-import type { News } from './load-news.js'
+import type { RecentLoadsUpdate } from './recent-loads.js'
 
 /** Age at which a word on its load is no better than a guess: streams of some seconds then fill other places. */
 const loadLasts: Ms = 2_000
@@ -52,7 +52,7 @@
    * @param load - as its holder counted
    * @param age - ms since then
    */
-  noteLoad ({ running, promptBacklog }: EngineLoad, age: Ms): void {
+  recordLoad ({ running, promptBacklog }: EngineLoad, age: Ms): void {
     const at = this._clock.now() - age
     if (this._load !== undefined && this._load.at >= at) return
     this._load = { running, promptBacklog, at }
@@ -84,20 +84,20 @@
   }
 
   /** Notes a prompt on its way there. */
-  sentPrompt (tokens: number): void {
+  recordPrompt (tokens: number): void {
     const at = this._clock.now()
     this._sends = this._sends.filter(send => at - send.at < loadLasts)
     this._sends.push({ at, tokens })
   }
 
   /** Notes how a stream there went. */
-  streamEnded (paused: boolean): void {
+  recordStream (paused: boolean): void {
     this._streams++
     if (paused) this._paused++
   }
 
   /** Streams ended since the last call. */
-  takeStreams (): { readonly streams: number, readonly paused: number } {
+  takeStreamCounts (): { readonly streams: number, readonly paused: number } {
     const taken = { streams: this._streams, paused: this._paused }
     this._streams = 0
     this._paused = 0
@@ -130,7 +130,7 @@
   }
 
   /** Notes that a place which its holder gave to a request of this entry was not used. */
-  placeUnused (): void { this._oweWord() }
+  recordUnusedSlot (): void { this._oweWord() }
 
   private _oweWord (): void {
     this._changedAt = this._clock.now()
@@ -138,10 +138,10 @@
   }
 
   /** Whether a request ended since its holder was last told what is in use. */
-  get owesWord (): boolean { return this._changedAt > this._toldAt }
+  get hasUnreportedUse (): boolean { return this._changedAt > this._toldAt }
 
   /** Notes that its holder is being told what is in use. */
-  tell (): void { this._toldAt = this._clock.now() }
+  markReported (): void { this._toldAt = this._clock.now() }
 
   get record (): UpstreamRecord { return this._record }
   get id (): string { return this._record.id }
@@ -151,7 +151,7 @@
 
   /** Takes its own word that it leaves, which the store may not have yet. */
   leave (): void {
-    this.notices.noteLeaving()
+    this.notices.recordLeaving()
     this._record = { ...this._record, state: 'draining' }
   }
 
@@ -166,7 +166,7 @@
   get heard (): number { return this._heard }
 
   /** Takes its holder's word on loads that its record may not show. */
-  noteNews ({ heard, loads }: News): void {
+  recordRecentLoads ({ heard, loads }: RecentLoadsUpdate): void {
     this._heard = heard
     for (const { key, version } of loads) this._noteHeld(key, version)
     this._forgetOldest()
@@ -179,7 +179,7 @@
   }
 
   /** Whether it held an adapter lately, as far as its record or its holder said: a load of it reads a copy in the host's memory. */
-  heldLately (adapter: string, version: number | undefined): boolean {
+  wasRecentlyLoaded (adapter: string, version: number | undefined): boolean {
     const held = this._recent.get(adapter)
     return held !== undefined && held >= (version ?? 0)
   }
@@ -187,7 +187,7 @@
   private _noteAdapters (): void {
     for (const { model, adapters } of this._record.models) {
       for (const { adapter, version } of adapters) {
-        this._noteHeld(wantKey({ model, adapter }), version)
+        this._noteHeld(requestedAdapterKey({ model, adapter }), version)
       }
     }
     this._forgetOldest()
--- a/packages/direct/src/lib/usage-desk.ts
+++ b/packages/direct/src/lib/usage-coordinator.ts
@@ -3,17 +3,17 @@
  * organisation's usage, or the requests that an upstream takes.
  */
 import type { Clock, Log, Ms } from '@hazelford/core'
-import { type CreditLimit, rendezvousOrder, rendezvousWeight, type UsageBounds, type UsageGrant, UsageKeeper, type UsageReport, type UsageRow, wordLasts } from '@hazelford/decisions'
+import { type CreditLimit, rendezvousOrder, rendezvousWeight, type UsageBounds, type UsageGrant, UsageAllocator, type UsageReport, type UsageRow, reportTtl } from '@hazelford/decisions'
 import { NoAnswer } from './json-client.js'
 import { PeerSuspects } from './peer-suspects.js'
 import type { PeerAddress } from './peer-table.js'
-import { type Admission, UsageLine } from './usage-line.js'
+import { type Admission, CreditQueue } from './credit-queue.js'
 
 /** A report to the entry that counts some accounts. */
 export interface UsageMessage extends UsageReport { readonly shard: number }
 
 /** What the desk needs of its entry. */
-export interface UsageDeskOptions {
+export interface UsageCoordinatorOptions {
   readonly node: string
   /** What is limited; each kind has keepers of its own. */
   readonly kind: 'usage' | 'upstream-limits'
@@ -21,7 +21,7 @@
   readonly log: Log
   readonly bounds: () => UsageBounds
   /** Whether requests wait for credit that comes soon. */
-  readonly isPatient: boolean
+  readonly waitsForCredit: boolean
   /** All entries that live. */
   readonly entries: () => readonly PeerAddress[]
   /** Entries that share each limit. */
@@ -29,7 +29,7 @@
   /** Those in force, by account. */
   readonly limits: () => ReadonlyMap<string, CreditLimit>
   /** What to take for a row of which the keeper says nothing. */
-  readonly untold: (row: UsageRow) => Omit<UsageGrant, 'account'>
+  readonly defaultGrant: (row: UsageRow) => Omit<UsageGrant, 'account'>
   readonly report: (peer: PeerAddress, msg: UsageMessage) => Promise<readonly UsageGrant[]>
   readonly ping: (peer: PeerAddress) => Promise<void>
 }
@@ -50,9 +50,9 @@
 const reportAfterEnd: Ms = 2_000
 
 /** One entry's part: its credit, and what it lends to others. */
-export class UsageDesk {
-  private readonly _lines = new Map<number, UsageLine>()
-  private readonly _keepers = new Map<number, UsageKeeper>()
+export class UsageCoordinator {
+  private readonly _lines = new Map<number, CreditQueue>()
+  private readonly _keepers = new Map<number, UsageAllocator>()
   private readonly _suspects: PeerSuspects
   /** When another entry reported here. */
   private _othersHeardAt: Ms = -Infinity
@@ -64,7 +64,7 @@
   private _stopped = false
   private readonly _startedAt: Ms
 
-  constructor (private readonly _options: UsageDeskOptions) {
+  constructor (private readonly _options: UsageCoordinatorOptions) {
     this._startedAt = _options.clock.now()
     this._suspects = new PeerSuspects(_options)
   }
@@ -102,7 +102,7 @@
     const { clock, bounds, node, entryCount } = this._options
     if (report.entry !== node) this._othersHeardAt = clock.now()
     if (this._mayMissOthers) return report.rows.map(({ account }) => ({ account, granted: 0, wait: hearWithin }))
-    const keeper = this._keepers.get(shard) ?? new UsageKeeper()
+    const keeper = this._keepers.get(shard) ?? new UsageAllocator()
     this._keepers.set(shard, keeper)
     return keeper.report(report, { bounds: bounds(), now: clock.now(), entries: entryCount(), limitOf: name => this._limits.get(name) })
   }
@@ -110,7 +110,7 @@
   /** Whether others may count the same accounts, of whom nothing is known yet. */
   private get _mayMissOthers (): boolean {
     const now = this._options.clock.now()
-    return now - (this._limitedSince ?? now) < aloneAfter && now - this._othersHeardAt > wordLasts
+    return now - (this._limitedSince ?? now) < aloneAfter && now - this._othersHeardAt > reportTtl
   }
 
   /** Others may keep to a limit that has ended; they hear of its end from who reports to them. */
@@ -122,11 +122,11 @@
     return this._shards === 1 ? 0 : rendezvousWeight(this._options.kind, account) % this._shards
   }
 
-  private _line (shard: number): UsageLine {
+  private _line (shard: number): CreditQueue {
     const known = this._lines.get(shard)
     if (known !== undefined) return known
-    const { clock, log, node, isPatient } = this._options
-    const line = new UsageLine({ clock, log, node, startedAt: this._startedAt, isPatient, isNeeded: () => this._isNeeded, report: report => this._report(shard, report) })
+    const { clock, log, node, waitsForCredit: isPatient } = this._options
+    const line = new CreditQueue({ clock, log, node, startedAt: this._startedAt, waitsForCredit: isPatient, isNeeded: () => this._isNeeded, report: report => this._report(shard, report) })
     this._lines.set(shard, line)
     return line
   }
@@ -177,6 +177,6 @@
   private _complete ({ rows }: UsageReport, grants: readonly UsageGrant[]): readonly UsageGrant[] {
     const told = new Set(grants.map(({ account }) => account))
     const untold = rows.filter(({ account }) => !told.has(account))
-    return [...grants, ...untold.map(row => ({ account: row.account, ...this._options.untold(row) }))]
+    return [...grants, ...untold.map(row => ({ account: row.account, ...this._options.defaultGrant(row) }))]
   }
 }
--- a/packages/direct/src/lib/usage-messages.ts
+++ b/packages/direct/src/lib/usage-messages.ts
@@ -2,17 +2,17 @@
  * Reads what entries tell each other of usage.
  */
 import type { UsageGrant, UsageRow } from '@hazelford/decisions'
-import { isAmount } from './amount.js'
-import type { UsageMessage } from './usage-desk.js'
+import { isNonNegativeNumber } from './non-negative-number.js'
+import type { UsageMessage } from './usage-coordinator.js'
 
 function isRow (value: unknown): value is UsageRow {
   const { account, holding, first, waiting, ahead, returned } = (value ?? {}) as Record<string, unknown>
-  return typeof account === 'string' && [holding, first, waiting, ahead, returned].every(isAmount)
+  return typeof account === 'string' && [holding, first, waiting, ahead, returned].every(isNonNegativeNumber)
 }
 
 function isGrant (value: unknown): value is UsageGrant {
   const { account, granted, wait } = (value ?? {}) as Record<string, unknown>
-  return typeof account === 'string' && isAmount(granted) && isAmount(wait)
+  return typeof account === 'string' && isNonNegativeNumber(granted) && isNonNegativeNumber(wait)
 }
 
 /**
@@ -25,7 +25,7 @@
  */
 export function readUsageMessage (value: unknown): UsageMessage | undefined {
   const { shard, entry, covers, rows } = (value ?? {}) as Record<string, unknown>
-  if (!isAmount(shard) || !isAmount(covers) || typeof entry !== 'string' || !Array.isArray(rows) || !rows.every(isRow)) return undefined
+  if (!isNonNegativeNumber(shard) || !isNonNegativeNumber(covers) || typeof entry !== 'string' || !Array.isArray(rows) || !rows.every(isRow)) return undefined
   return { shard, entry, covers, rows }
 }
 
--- a/packages/direct/src/test/load-news.steps.ts
+++ b/packages/direct/src/test/load-news.steps.ts
@@ -4,13 +4,13 @@
 import assert from 'node:assert/strict'
 import { Then } from '@cucumber/cucumber'
 import fc from 'fast-check'
-import { LoadNews } from '../lib/load-news.js'
+import { RecentLoads } from '../lib/recent-loads.js'
 
 const seed = 20261202
 
 Then('an entry that asks often enough hears of every load once, however asks and loads mix', () => {
   fc.assert(fc.property(fc.array(fc.integer({ min: 0, max: 32 }), { maxLength: 50 }), loadsBetweenAsks => {
-    const news = new LoadNews()
+    const news = new RecentLoads()
     const heardOf: number[] = []
     let heard = 0
     let loaded = 0
@@ -25,7 +25,7 @@
 })
 
 Then('an entry that has heard a former holder of the engine hears what the next one has loaded', () => {
-  const next = new LoadNews()
+  const next = new RecentLoads()
   next.add({ key: 'm/a1', version: 1 })
   assert.deepEqual(next.since(40).loads, [{ key: 'm/a1', version: 1 }])
 })
--- a/packages/direct/src/test/peers.steps.ts
+++ b/packages/direct/src/test/peers.steps.ts
@@ -77,7 +77,7 @@
   await new Promise<void>(resolve => this.peerServer!.listen(0, loopback, resolve))
   this.peerClient = new PeerClient()
   const { port } = this.peerServer.address() as AddressInfo
-  this.told = await this.peerClient.tellNotices({ node: 'older', host: loopback, port }, { notices: [] }).then(() => true, () => false)
+  this.told = await this.peerClient.sendNotices({ node: 'older', host: loopback, port }, { notices: [] }).then(() => true, () => false)
 })
 
 Then('it is not told', function (this: PeersWorld) { assert.equal(this.told, false) })
--- a/packages/direct/src/test/places.steps.ts
+++ b/packages/direct/src/test/places.steps.ts
@@ -3,9 +3,9 @@
  */
 import assert from 'node:assert/strict'
 import { Then } from '@cucumber/cucumber'
-import { EnginePlaces } from '@hazelford/decisions'
+import { BatchSlots } from '@hazelford/decisions'
 import fc from 'fast-check'
-import { type LoadDigest, digestsTold, pickDigests, readDigests, toRow } from '../lib/load-digest.js'
+import { type LoadDigest, maxDigestsPerMessage, pickDigests, readDigests, toDigestRow } from '../lib/load-digest.js'
 import { playPlaces } from './support/places-play.js'
 
 const propertySeed = 20261203
@@ -22,7 +22,7 @@
 Then('a holder counts what it let in and what entries say has ended, whatever the order', () => {
   const change = fc.record({ entry: fc.constantFrom('a', 'b', 'c'), begins: fc.boolean() })
   fc.assert(fc.property(fc.array(change, { maxLength: 60 }), changes => {
-    const places = new EnginePlaces(12)
+    const places = new BatchSlots(12)
     const open = new Map<string, number>()
     changes.forEach(({ entry, begins }, at) => {
       const before = open.get(entry) ?? 0
@@ -37,7 +37,7 @@
 })
 
 Then('a lost entry\'s requests count no more after {int} s', (seconds: number) => {
-  const places = new EnginePlaces(12)
+  const places = new BatchSlots(12)
   places.note('lost', 7, 0)
   assert.equal(places.running(seconds * 1_000 - 1), 7)
   assert.equal(places.running(seconds * 1_000), 0)
@@ -45,7 +45,7 @@
 
 Then('what is no word on a load is left out', () => {
   const good: LoadDigest = { upstream: 'i-1', running: 3, promptBacklog: 0, age: 10 }
-  assert.deepEqual(readDigests([toRow(good), null, 7, {}, [], ['i-1'], ['i-1', 3, 0, -1], ['i-1', 'x', 0, 10], [7, 3, 0, 10], ['i-1', 3, null, 10]]), [good])
+  assert.deepEqual(readDigests([toDigestRow(good), null, 7, {}, [], ['i-1'], ['i-1', 3, 0, -1], ['i-1', 'x', 0, 10], [7, 3, 0, 10], ['i-1', 3, null, 10]]), [good])
   fc.assert(fc.property(fc.jsonValue(), value => { assert.ok(Array.isArray(readDigests(value))) }), { seed: propertySeed })
 })
 
@@ -57,7 +57,7 @@
   for (let n = 0; n < 84; n++) {
     const picked = pickDigests(own, others, () => n / 84)
     assert.equal(picked[0]!.upstream, 'i-100')
-    assert.ok(picked.length <= digestsTold)
+    assert.ok(picked.length <= maxDigestsPerMessage)
     for (const { upstream } of picked) told.add(upstream)
   }
   assert.equal(told.size, 85)
--- a/packages/direct/src/test/support/places-play.ts
+++ b/packages/direct/src/test/support/places-play.ts
@@ -2,7 +2,7 @@
  * Plays streams of many entries at many engines with few places each, in virtual time, against the real decisions on where they go.
  */
 import type { Ms } from '@hazelford/core'
-import { EnginePlaces, rankCandidates, rendezvousOrder } from '@hazelford/decisions'
+import { BatchSlots, rankCandidates, rendezvousOrder } from '@hazelford/decisions'
 import { type LoadDigest, pickDigests } from '../../lib/load-digest.js'
 import { randoms } from './randoms.js'
 
@@ -41,7 +41,7 @@
 const maxAsked = 3
 
 interface Stream { readonly since: Ms, until: Ms, readonly entry: string }
-interface Engine { readonly id: string, readonly holder: number, readonly places: EnginePlaces, running: Stream[], waiting: Stream[] }
+interface Engine { readonly id: string, readonly holder: number, readonly places: BatchSlots, running: Stream[], waiting: Stream[] }
 type Known = Map<string, { readonly running: number, readonly at: Ms }>
 
 class PlacesPlay {
@@ -58,7 +58,7 @@
 
   constructor (private readonly _load: PlacesLoad) {
     this._random = randoms(_load.seed)
-    this._engines = Array.from({ length: _load.engines }, (_, n) => ({ id: `i-${n}`, holder: n % _load.entries, places: new EnginePlaces(_load.places), running: [], waiting: [] }))
+    this._engines = Array.from({ length: _load.engines }, (_, n) => ({ id: `i-${n}`, holder: n % _load.entries, places: new BatchSlots(_load.places), running: [], waiting: [] }))
     this._known = Array.from({ length: _load.entries }, () => new Map())
     this._own = Array.from({ length: _load.entries }, () => new Map())
   }
@@ -149,7 +149,7 @@
       const running = this._load.guessing ? ownStreams * this._load.entries : heard?.running ?? ownStreams
       return { engine, id: engine.id, sameZone: true, running, promptBacklog: 0, slots: this._load.places, latency: 0, failureShare: 0, adapter: 'recent' as const, rank: ranks.get(engine.id)! }
     })
-    return rankCandidates(candidates, { replicas: 2, stay: this._load.guessing ? 0 : this._load.stay }).map(candidate => (candidate as typeof candidates[number]).engine)
+    return rankCandidates(candidates, { replicas: 2, serviceTime: this._load.guessing ? 0 : this._load.stay }).map(candidate => (candidate as typeof candidates[number]).engine)
   }
 
   private _ranksOf (adapter: number): ReadonlyMap<string, number> {
--- a/packages/direct/src/test/support/usage-play.ts
+++ b/packages/direct/src/test/support/usage-play.ts
@@ -4,10 +4,10 @@
 import { FakeClock, type Ms, silentLog, sleep } from '@hazelford/core'
 import type { UsageBounds } from '@hazelford/decisions'
 import type { Organisation } from '@hazelford/ports'
-import { grantUntold, usageLimits } from '../../lib/organisation-usage.js'
+import { grantInFull, usageLimits } from '../../lib/organisation-usage.js'
 import { type PeerAddress, PeerTable } from '../../lib/peer-table.js'
-import { UsageDesk } from '../../lib/usage-desk.js'
-import type { Admission } from '../../lib/usage-line.js'
+import { UsageCoordinator } from '../../lib/usage-coordinator.js'
+import type { Admission } from '../../lib/credit-queue.js'
 import { randoms } from './randoms.js'
 
 /** How entries share a limit: each its equal part, or by what a keeper lends. */
@@ -114,7 +114,7 @@
   private readonly _random: () => number
   private readonly _peers: readonly PeerAddress[]
   private readonly _organisations: readonly Organisation[]
-  private readonly _desks: UsageDesk[] = []
+  private readonly _desks: UsageCoordinator[] = []
   /** By entry, with the length of the list that it holds. */
   private readonly _tables: { readonly table: PeerTable, readonly listing: number }[] = []
   private readonly _parts: Map<string, NaiveBucket>[] = []
@@ -161,7 +161,7 @@
   private _start (n: number): void {
     this._desks[n]?.stop()
     this._tables[n] = { table: new PeerTable(this._clock, () => {}), listing: 0 }
-    const desk = new UsageDesk({
+    const desk = new UsageCoordinator({
       node: this._peers[n]!.node,
       clock: this._clock,
       log: silentLog,
@@ -169,9 +169,9 @@
       entries: () => this._table(n).entries,
       entryCount: () => this._table(n).entryCount,
       kind: 'usage',
-      isPatient: this._load.isPatient ?? true,
+      waitsForCredit: this._load.isPatient ?? true,
       limits: () => usageLimits(this._organisations),
-      untold: grantUntold,
+      defaultGrant: grantInFull,
       report: async ({ port }, msg) => await this._carry(n, port - 1, () => this._desks[port - 1]!.report(msg)),
       ping: async ({ port }) => { await this._carry(n, port - 1, () => []) }
     })
--- a/packages/direct/src/test/usage.steps.ts
+++ b/packages/direct/src/test/usage.steps.ts
@@ -7,11 +7,11 @@
 import { rendezvousOrder, type UsageBounds } from '@hazelford/decisions'
 import type { Organisation } from '@hazelford/ports'
 import fc from 'fast-check'
-import { limitBounds } from '../lib/notice-desk.js'
-import { grantUntold, usageLimits, usageOf } from '../lib/organisation-usage.js'
+import { limitBounds } from '../lib/notice-coordinator.js'
+import { grantInFull, usageLimits, usageOf } from '../lib/organisation-usage.js'
 import type { PeerAddress } from '../lib/peer-table.js'
-import { UsageDesk, type UsageDeskOptions } from '../lib/usage-desk.js'
-import type { Admission } from '../lib/usage-line.js'
+import { UsageCoordinator, type UsageCoordinatorOptions } from '../lib/usage-coordinator.js'
+import type { Admission } from '../lib/credit-queue.js'
 import { readUsageGrants, readUsageMessage } from '../lib/usage-messages.js'
 import { playUsage, type UsageDemand, type UsageFault, type UsageLoad } from './support/usage-play.js'
 
@@ -126,7 +126,7 @@
   return assertWithinLimits([lapse(lasts), ...starts])
 })
 
-interface NewcomerWorld { desk: UsageDesk, messages: number }
+interface NewcomerWorld { desk: UsageCoordinator, messages: number }
 
 const newcomer: Organisation = { name: 'newcomer', keys: [], limit: { unit: 'requests', rate: 50, burst: 50, plainTokens: 0 } }
 
@@ -137,8 +137,8 @@
 }
 
 /** One entry's desk among others that all answer pings. */
-function deskAmong (entries: readonly PeerAddress[], node: string, clock: Clock, organisations: readonly Organisation[], report: UsageDeskOptions['report']): UsageDesk {
-  const desk = new UsageDesk({
+function deskAmong (entries: readonly PeerAddress[], node: string, clock: Clock, organisations: readonly Organisation[], report: UsageCoordinatorOptions['report']): UsageCoordinator {
+  const desk = new UsageCoordinator({
     node,
     clock,
     log: silentLog,
@@ -146,9 +146,9 @@
     entries: () => entries,
     entryCount: () => entries.length,
     kind: 'usage',
-    isPatient: true,
+    waitsForCredit: true,
     limits: () => usageLimits(organisations),
-    untold: grantUntold,
+    defaultGrant: grantInFull,
     report,
     ping: async () => {}
   })
--- a/packages/engine/src/lib/engine-client.ts
+++ b/packages/engine/src/lib/engine-client.ts
@@ -32,7 +32,7 @@
   /** Engine-side name that must run. */
   readonly engineName: string
   /** Name the caller knows, which replaces the engine-side one in the answer. */
-  readonly shownName: string
+  readonly publicName: string
   /** Lower runs first. */
   readonly priority: number
 }
@@ -164,7 +164,7 @@
       this.cancel().then(() => this._sink.fail(wrongAdapter(this._call.engineName)), () => {})
       return
     }
-    this._ready += `${line.replace(this._call.engineName, this._call.shownName)}\n\n`
+    this._ready += `${line.replace(this._call.engineName, this._call.publicName)}\n\n`
   }
 
   /** Passes on what one read completed. */
@@ -194,7 +194,7 @@
       return this._finish(() => this._sink.fail(wrongAdapter(this._call.engineName)))
     }
     this._sendHead()
-    this._sink.data(Buffer.from(text.replaceAll(this._call.engineName, this._call.shownName), 'utf8'))
+    this._sink.data(Buffer.from(text.replaceAll(this._call.engineName, this._call.publicName), 'utf8'))
     this._finish(() => this._sink.end())
   }
 
--- a/packages/entry/src/lib/channel-client.ts
+++ b/packages/entry/src/lib/channel-client.ts
@@ -160,9 +160,9 @@
     const { body } = frame
     switch (body?.$case) {
       case 'welcome': return this._welcome(body.value)
-      case 'head': return this._open.get(body.value.seq)?.takeHead(body.value)
+      case 'head': return this._open.get(body.value.seq)?.receiveHead(body.value)
       case 'chunks': return this._takeChunks(body.value)
-      case 'end': return this._end(body.value.seq, attempt => attempt.takeEnd(body.value))
+      case 'end': return this._end(body.value.seq, attempt => attempt.receiveEnd(body.value))
       case 'heartbeat':
         if (this._connected) this._events.heartbeat(body.value)
         this._offerConfig(body.value.revision)
@@ -173,7 +173,7 @@
   }
 
   private _takeChunks ({ seqs, indexes, data }: ChunkGroup): void {
-    for (let i = 0; i < seqs.length; i++) this._open.get(seqs[i]!)?.takeChunk(indexes[i]!, data[i]!)
+    for (let i = 0; i < seqs.length; i++) this._open.get(seqs[i]!)?.receiveChunk(indexes[i]!, data[i]!)
   }
 
   private _end (seq: number, take: (attempt: OpenAttempt) => void): void {
--- a/packages/entry/src/lib/entry.ts
+++ b/packages/entry/src/lib/entry.ts
@@ -149,11 +149,11 @@
       clock,
       events,
       takeRetry: () => budget.takeRetry(),
-      heldBack: () => this._heldBack(digest),
+      quarantineFailure: () => this._heldBack(digest),
       mayComeBack: () => this.directory.views(call.service.name).some(view => view.mayComeBack(clock.now())),
       choose: tried => chooseUpstream({
         ...(adapter === undefined ? {} : { adapter }),
-        ...(!call.idempotent && call.idempotencyKey !== '' ? { homeKey: call.idempotencyKey } : {}),
+        ...(!call.idempotent && call.idempotencyKey !== '' ? { affinityKey: call.idempotencyKey } : {}),
         zone: this.options.zone,
         tried
       }, this.directory.views(call.service.name), weights, clock.now(), Math.random)?.name,
@@ -185,7 +185,7 @@
         })
       },
       over: outcome => {
-        if (outcome.kind === 'answered') this._quarantine.noteAnswered(digest, clock.now())
+        if (outcome.kind === 'answered') this._quarantine.recordAnswered(digest, clock.now())
         this._over(id, outcome, startedAt, call)
       }
     })
@@ -202,8 +202,8 @@
   private _noteEnd (request: string, upstream: string, age: Ms): void {
     const { clock, log } = this.options
     const now = clock.now()
-    if (!this._quarantine.noteEnd(request, { upstream, at: now - age }, now) || !this._quarantine.hold(request, now)) return
-    log.warn('entry', 'request held back, engines ended under it.', { digest: request, upstreams: this._quarantine.endsOf(request) })
+    if (!this._quarantine.recordTermination(request, { upstream, at: now - age }, now) || !this._quarantine.hold(request, now)) return
+    log.warn('entry', 'request held back, engines ended under it.', { digest: request, upstreams: this._quarantine.terminatedUpstreams(request) })
   }
 
   private _heldBack (request: string): Failure | undefined {
--- a/packages/entry/src/lib/open-attempt.ts
+++ b/packages/entry/src/lib/open-attempt.ts
@@ -35,13 +35,13 @@
 
   get over (): boolean { return this._over }
 
-  takeHead (head: Head): void {
+  receiveHead (head: Head): void {
     if (this._headSeen || this._over) return
     this._headSeen = true
     this._receiver.head({ status: head.status, headers: head.headers })
   }
 
-  takeChunk (index: number, data: Uint8Array): void {
+  receiveChunk (index: number, data: Uint8Array): void {
     if (this._over) return
     if (this._chunks.offer(index, data) === 'overflow') {
       return this.fail(failure('may-have-run', 'stream-incomplete', 'A part of the answer is missing.'))
@@ -49,7 +49,7 @@
     this._maybeEnd()
   }
 
-  takeEnd (end: End): void {
+  receiveEnd (end: End): void {
     this._end = end
     this._maybeEnd()
   }
--- a/packages/entry/src/lib/request-task.ts
+++ b/packages/entry/src/lib/request-task.ts
@@ -21,7 +21,7 @@
   readonly mayComeBack: () => boolean
   readonly takeRetry: () => boolean
   /** Why the request is held back; undefined when it is not. */
-  readonly heldBack: () => Failure | undefined
+  readonly quarantineFailure: () => Failure | undefined
   readonly dispatch: (upstream: string, receiver: AnswerReceiver) => Attempt
   readonly over: (outcome: RequestOutcome) => void
 }
@@ -48,7 +48,7 @@
       choose: _deps.choose,
       mayComeBack: _deps.mayComeBack,
       takeRetry: _deps.takeRetry,
-      heldBack: _deps.heldBack,
+      quarantineFailure: _deps.quarantineFailure,
       remaining: () => deadlineAt - clock.now(),
       random: Math.random
     }), effect => this._perform(effect))
--- a/packages/entry/src/lib/upstream-directory.ts
+++ b/packages/entry/src/lib/upstream-directory.ts
@@ -31,7 +31,7 @@
 }
 
 /** Hears that an upstream ended while it had a request. */
-export type EndListener = (request: string, upstream: string, age: Ms) => void
+export type TerminationListener = (request: string, upstream: string, age: Ms) => void
 
 /** Channels and views of one entry. */
 export class UpstreamDirectory {
@@ -40,7 +40,7 @@
   private readonly _byService = new Map<string, readonly UpstreamView[]>()
   private readonly _abort = new AbortController()
 
-  constructor (private readonly _options: EntryOptions, private readonly _incarnation: string, private readonly _config: ConfigState, private readonly _ended: EndListener) {
+  constructor (private readonly _options: EntryOptions, private readonly _incarnation: string, private readonly _config: ConfigState, private readonly _ended: TerminationListener) {
     _config.onChange((config, doc) => this._configChanged(config, doc))
   }
 
--- a/packages/ports/src/lib/call-codec.ts
+++ b/packages/ports/src/lib/call-codec.ts
@@ -13,7 +13,7 @@
   | { readonly kind: 'key', readonly digest: KeyDigest }
 
 /** What a request says of itself. */
-export interface CallFacts {
+export interface CallMetadata {
   /** Unique to this attempt of the caller. */
   readonly id: string
   /** How long the caller waits, from its arrival; undefined when it does not say. */
@@ -23,7 +23,7 @@
   readonly promptTokens: number
   readonly maxOutputTokens: number
   /** Whether the request names its tokens at all. */
-  readonly namesTokens: boolean
+  readonly declaresTokens: boolean
   /** Parts of the prompt in order, the last one the request's own. */
   readonly promptParts: readonly { readonly id: string, readonly tokens: number }[]
   /** Last event that the caller has of a stream it takes up again. */
@@ -47,7 +47,7 @@
 export type RawHeaders = readonly string[]
 
 /** What the head of an upstream's answer says. */
-export interface AnswerFacts {
+export interface AnswerMetadata {
   /** The upstream's own word that the request did not run. */
   readonly notRun: boolean
   /** Whether the answer bears the upstream's seal. */
@@ -66,9 +66,9 @@
    *
    * @returns the facts, or a sentence for the caller on what is wrong
    */
-  readonly readCall: (headers: RawHeaders) => Result<CallFacts, string>
+  readonly readCall: (headers: RawHeaders) => Result<CallMetadata, string>
   readonly readCredential: (headers: RawHeaders) => Credential
   /** Headers to send to the upstream, without those of one connection. */
   readonly forwardHeaders: (headers: RawHeaders, context: ForwardContext) => string[]
-  readonly readAnswer: (status: number, headers: RawHeaders) => AnswerFacts
+  readonly readAnswer: (status: number, headers: RawHeaders) => AnswerMetadata
 }
--- a/packages/ports/src/lib/engine-control.ts
+++ b/packages/ports/src/lib/engine-control.ts
@@ -2,7 +2,7 @@
  * Orders to engines and what they report.
  */
 import type { ResultAsync } from 'neverthrow'
-import type { HeldAdapter, HeldModel } from './upstream-record.js'
+import type { EngineAdapter, EngineModel } from './upstream-record.js'
 
 /** Names a model, or one of its adapters. */
 export interface LoadTarget {
@@ -12,7 +12,7 @@
 }
 
 /** Who orders, and on what view of the engine. */
-export interface OrderContext {
+export interface EngineOrderContext {
   readonly holder: string
   readonly fence: number
   /** Orders that the engine must have accepted so far; others make it refuse this one. */
@@ -29,15 +29,15 @@
  * - `refused`: the order can't be carried out as it is.
  * - `other-instance`: another incarnation answers at this address.
  */
-export type OrderOutcome = 'accepted' | 'holds' | 'conflict' | 'fenced' | 'refused' | 'other-instance'
+export type EngineOrderOutcome = 'accepted' | 'holds' | 'conflict' | 'fenced' | 'refused' | 'other-instance'
 
 /** What an engine holds, some hundred ms ago. */
 export interface EngineReport {
   /** Start of the incarnation that reports, as in its record. */
   readonly startedAt?: number
-  readonly models: readonly HeldModel[]
+  readonly models: readonly EngineModel[]
   /** Adapters on their way from the weight store. */
-  readonly coming: readonly (HeldAdapter & { readonly model: string })[]
+  readonly coming: readonly (EngineAdapter & { readonly model: string })[]
   readonly busy: boolean
   readonly orders: number
   readonly running: number
@@ -52,7 +52,7 @@
 
 /** Control of one incarnation of an engine. */
 export interface EngineControl {
-  readonly load: (target: LoadTarget, order: OrderContext) => ResultAsync<OrderOutcome, ControlFailure>
-  readonly unload: (target: LoadTarget, order: OrderContext) => ResultAsync<OrderOutcome, ControlFailure>
+  readonly load: (target: LoadTarget, order: EngineOrderContext) => ResultAsync<EngineOrderOutcome, ControlFailure>
+  readonly unload: (target: LoadTarget, order: EngineOrderContext) => ResultAsync<EngineOrderOutcome, ControlFailure>
   readonly report: () => ResultAsync<EngineReport, ControlFailure>
 }
--- a/packages/ports/src/lib/upstream-notice.ts
+++ b/packages/ports/src/lib/upstream-notice.ts
@@ -10,5 +10,5 @@
   /** Whether it is about to end and takes no new requests. */
   readonly leaving: boolean
   /** Ms for which it wants nothing more from this entry; undefined when it does not ask for that. */
-  readonly rest: Ms | undefined
+  readonly backoff: Ms | undefined
 }
--- a/packages/ports/src/lib/upstream-record.ts
+++ b/packages/ports/src/lib/upstream-record.ts
@@ -4,16 +4,16 @@
 import type { Ms } from '@hazelford/core'
 
 /** An adapter in an engine, with its version. */
-export interface HeldAdapter {
+export interface EngineAdapter {
   readonly adapter: string
   readonly version: number
 }
 
 /** A model in an engine, with the adapters loaded on it. */
-export interface HeldModel {
+export interface EngineModel {
   readonly model: string
   readonly version: number
-  readonly adapters: readonly HeldAdapter[]
+  readonly adapters: readonly EngineAdapter[]
 }
 
 /** One incarnation of an upstream: a restart has a new id, or a later start under the same one. */
@@ -30,7 +30,7 @@
   readonly state: 'ready' | 'draining'
   /** Time until it is gone, when it was told to leave at short notice. */
   readonly leavesIn?: Ms
-  readonly models: readonly HeldModel[]
+  readonly models: readonly EngineModel[]
   /** Orders accepted since its start. */
   readonly orders: number
 }
@@ -43,7 +43,7 @@
 }
 
 /** How a word on an upstream stands to the incarnation that is known. */
-export type IncarnationOrder = 'same' | 'later' | 'earlier'
+export type IncarnationComparison = 'same' | 'later' | 'earlier'
 
 /**
  * Compares incarnations of one upstream.
@@ -54,7 +54,7 @@
  * @param heard - start that a word names
  * @param known - start of the incarnation that is known
  */
-export function compareStarts (heard: number | undefined, known: number | undefined): IncarnationOrder {
+export function compareStartTimes (heard: number | undefined, known: number | undefined): IncarnationComparison {
   if (heard === known) return 'same'
   return (heard ?? -Infinity) > (known ?? -Infinity) ? 'later' : 'earlier'
 }
--- a/packages/sidecar/src/index.ts
+++ b/packages/sidecar/src/index.ts
@@ -4,7 +4,7 @@
  * @packageDocumentation
  */
 export * from './lib/claims.js'
-export * from './lib/engine-slots.js'
+export * from './lib/adapter-slots.js'
 export * from './lib/fence.js'
 export * from './lib/load-permits.js'
 export * from './lib/sidecar-options.js'
--- a/packages/sidecar/src/lib/engine-slots.ts
+++ b/packages/sidecar/src/lib/adapter-slots.ts
@@ -6,7 +6,7 @@
 import type { Fence } from './fence.js'
 
 /** What loads work with. */
-export interface EngineSlotsOptions {
+export interface AdapterSlotsOptions {
   readonly engine: EngineClient
   readonly fence: Fence
   readonly clock: Clock
@@ -31,14 +31,14 @@
 }
 
 /** Engine-side names of what this sidecar serves from. */
-export class EngineSlots {
+export class AdapterSlots {
   private readonly _names = new Map<AdapterKey, string>()
   private _generation = 0
   private _announced = false
   /** Changes with each order, so that a listing taken around one is not trusted. */
   private _orders = 0
 
-  constructor (private readonly _options: EngineSlotsOptions) {}
+  constructor (private readonly _options: AdapterSlotsOptions) {}
 
   /** Engine-side name of a loaded adapter. */
   nameOf (adapter: AdapterKey): string | undefined { return this._names.get(adapter) }
--- a/packages/sidecar/src/lib/claims.ts
+++ b/packages/sidecar/src/lib/claims.ts
@@ -4,7 +4,7 @@
 import { createHash } from 'node:crypto'
 import { type Clock, type EventRing, type Log, newId, type Ms, sleep } from '@hazelford/core'
 import type { AnswerHeader } from '@hazelford/engine'
-import { type KvClient, type KvRead, settledWrite } from '@hazelford/consul'
+import { type KvClient, type KvRead, casWithReadBack } from '@hazelford/consul'
 
 /** An answer kept for repeats. */
 export interface KeptAnswer {
@@ -124,7 +124,7 @@
     const { kv, clock, events, sidecar, incarnation } = this._options
     const record: ClaimRecord = { token: held.token, sidecar, incarnation, digest: held.digest, at: clock.wall() }
     const path = this._path(key)
-    const written = await settledWrite(kv, path, 0, JSON.stringify(record), value => this._tokenOf(value) === held.token)
+    const written = await casWithReadBack(kv, path, 0, JSON.stringify(record), value => this._tokenOf(value) === held.token)
     switch (written.kind) {
       case 'stored':
         events.add('claim', { note: `key taken for ${this._options.service}` })
@@ -173,7 +173,7 @@
    * Notes that a call began and that nobody knows how it ended. The record stays, so
    * that no repeat runs it again.
    */
-  giveUp (claim: Claim): void {
+  markOutcomeUnknown (claim: Claim): void {
     const held = this._held.get(claim.key)
     if (held === undefined) return
     held.settle(undefined)
--- a/packages/sidecar/src/lib/fence.ts
+++ b/packages/sidecar/src/lib/fence.ts
@@ -2,7 +2,7 @@
  * The fencing number of this sidecar: proof that no other orders the same engine.
  */
 import { type Clock, type EventRing, type Log, newId, type Ms, sleep } from '@hazelford/core'
-import { type KvClient, settledWrite } from '@hazelford/consul'
+import { type KvClient, casWithReadBack } from '@hazelford/consul'
 
 /** What stands in the key-value service for an upstream. */
 interface FenceRecord {
@@ -77,7 +77,7 @@
     if (current?.token === this._token) return this._hold(current.number)
     const record: FenceRecord = { number: (current?.number ?? 0) + 1, token: this._token, sidecar }
     const isOwn = (value: string): boolean => readRecord(value)?.token === this._token
-    const outcome = await settledWrite(kv, this._key, entry?.modifyIndex ?? 0, JSON.stringify(record), isOwn)
+    const outcome = await casWithReadBack(kv, this._key, entry?.modifyIndex ?? 0, JSON.stringify(record), isOwn)
     if (outcome.kind !== 'stored') return false
     this._hold(record.number)
     this._verifiedAt = clock.now()
--- a/packages/sidecar/src/lib/reporter.ts
+++ b/packages/sidecar/src/lib/heartbeat-reporter.ts
@@ -2,30 +2,30 @@
  * Heartbeats of a sidecar to its entries.
  */
 import type { Clock, Ms } from '@hazelford/core'
-import type { EndedRequest } from './ended-requests.js'
+import type { InterruptedRequest } from './interrupted-requests.js'
 import type { PlanReport } from '@hazelford/decisions'
 import type { SidecarHeartbeat } from '@hazelford/wire'
 import type { Connection } from './channel-server.js'
 
 /** What the reporter tells of. */
-export interface ReporterSource {
+export interface HeartbeatSource {
   readonly state: () => string
   readonly revision: () => number
   readonly report: () => PlanReport
   /** Requests under which the upstream ended. */
-  readonly ended: () => readonly EndedRequest[]
+  readonly ended: () => readonly InterruptedRequest[]
   readonly connections: () => Iterable<Connection>
 }
 
 const minReportGapMs: Ms = 20
 
 /** Tells every connected entry of load and slots. */
-export class Reporter {
+export class HeartbeatReporter {
   /** Adapters that each connection was last told of. */
   private readonly _toldAdapters = new Map<Connection, string>()
   private _due = false
 
-  constructor (private readonly _clock: Clock, private readonly _source: ReporterSource) {}
+  constructor (private readonly _clock: Clock, private readonly _source: HeartbeatSource) {}
 
   /** Everything that a heartbeat can tell. */
   heartbeat (): SidecarHeartbeat {
--- a/packages/sidecar/src/lib/ended-requests.ts
+++ b/packages/sidecar/src/lib/interrupted-requests.ts
@@ -4,7 +4,7 @@
 import type { Ms } from '@hazelford/core'
 
 /** A request that was running when the upstream ended. */
-export interface EndedRequest {
+export interface InterruptedRequest {
   /** Its digest. */
   readonly request: string
   /** Ms since the end. */
@@ -21,7 +21,7 @@
  *
  * Told with each heartbeat, so that an entry that starts later, or missed one, hears of them all the same.
  */
-export class EndedRequests {
+export class InterruptedRequests {
   private readonly _ends = new Map<string, Ms>()
 
   /** Notes a request that was running when the upstream ended. */
@@ -40,7 +40,7 @@
   }
 
   /** What entries are told. */
-  list (now: Ms): readonly EndedRequest[] {
+  list (now: Ms): readonly InterruptedRequest[] {
     for (const [request, at] of this._ends) if (now - at >= toldFor) this._ends.delete(request)
     return [...this._ends].map(([request, at]) => ({ request, age: now - at }))
   }
--- a/packages/sidecar/src/lib/load-permits.ts
+++ b/packages/sidecar/src/lib/load-permits.ts
@@ -3,8 +3,8 @@
  * one record of the key-value service, taken and returned by compare-and-swap.
  */
 import { type CancelTimer, type Clock, type Log, type Ms, newId, sleep } from '@hazelford/core'
-import { LoadPacer } from '@hazelford/decisions'
-import { type KvClient, settledWrite } from '@hazelford/consul'
+import { LoadThrottle } from '@hazelford/decisions'
+import { type KvClient, casWithReadBack } from '@hazelford/consul'
 
 interface Permit {
   readonly token: string
@@ -67,7 +67,7 @@
 
 /** Takes and returns permits for one sidecar. */
 export class LoadPermits {
-  private _pacer: LoadPacer | undefined
+  private _pacer: LoadThrottle | undefined
 
   constructor (private readonly _options: PermitOptions) {}
 
@@ -142,7 +142,7 @@
 
   private async _write (index: number, next: PermitRecord): Promise<Attempt> {
     const isOwn = (value: string): boolean => (JSON.parse(value) as PermitRecord).writeId === next.writeId
-    const outcome = await settledWrite(this._options.kv, recordKey, index, JSON.stringify(next), isOwn)
+    const outcome = await casWithReadBack(this._options.kv, recordKey, index, JSON.stringify(next), isOwn)
     switch (outcome.kind) {
       case 'stored': return { kind: 'taken' }
       case 'conflict': return { kind: 'conflict' }
@@ -202,9 +202,9 @@
     if (took !== undefined) this._ownPacer().ended(took, loaded)
   }
 
-  private _ownPacer (): LoadPacer {
+  private _ownPacer (): LoadThrottle {
     const { perSecond, sharers } = this._options.limits()
-    this._pacer ??= new LoadPacer(second * Math.max(1, sharers) / perSecond)
+    this._pacer ??= new LoadThrottle(second * Math.max(1, sharers) / perSecond)
     return this._pacer
   }
 }
--- a/packages/sidecar/src/lib/request-desk.ts
+++ b/packages/sidecar/src/lib/request-dispatcher.ts
@@ -4,8 +4,8 @@
 import { adapterKey, assertNever, callDigest, failure, type Failure, type FailureCode, type Ms, parseTrafficClass, Task } from '@hazelford/core'
 import { type PlanEffect, type PlanLimits, type PlanMessage, type PlanReport, planUpstream, UpstreamPlan } from '@hazelford/decisions'
 import type { Hello, Request, Withdraw } from '@hazelford/wire'
-import { type EndedRequest, EndedRequests } from './ended-requests.js'
-import type { EngineSlots } from './engine-slots.js'
+import { type InterruptedRequest, InterruptedRequests } from './interrupted-requests.js'
+import type { AdapterSlots } from './adapter-slots.js'
 import type { EntrySession } from './entry-session.js'
 import type { HeldPermit, LoadPermits } from './load-permits.js'
 import { RequestRun } from './request-run.js'
@@ -14,12 +14,12 @@
 
 /** Parts that only a sidecar beside a model engine has. */
 export interface ModelParts {
-  readonly slots: EngineSlots
+  readonly slots: AdapterSlots
   readonly permits: LoadPermits
 }
 
 /** What the desk works with besides the sidecar's options. */
-export interface DeskParts {
+export interface DispatcherParts {
   readonly limits: PlanLimits
   readonly model?: ModelParts
   readonly createRunner: (events: RunnerEvents) => UpstreamRunner
@@ -41,17 +41,17 @@
 function digestOf ({ method, service, path, body }: Request): string { return callDigest(method, `${service} ${path}`, body) }
 
 /** The requests of one upstream. */
-export class RequestDesk {
+export class RequestDispatcher {
   private readonly _plan: UpstreamPlan
   private readonly _task: Task<PlanMessage, PlanEffect>
   private readonly _runner: UpstreamRunner
   private readonly _runs = new Map<string, RequestRun>()
   private readonly _reloads = new Map<string, number>()
-  private readonly _ended = new EndedRequests()
+  private readonly _ended = new InterruptedRequests()
   private _permit: HeldPermit | undefined
   private _wantedRank: number | undefined
 
-  constructor (private readonly _options: SidecarOptions, private readonly _parts: DeskParts) {
+  constructor (private readonly _options: SidecarOptions, private readonly _parts: DispatcherParts) {
     this._plan = new UpstreamPlan(_parts.limits, _options.random ?? Math.random)
     this._runner = _parts.createRunner({
       finished: (run, ran) => this._finished(run, ran),
@@ -65,7 +65,7 @@
   report (): PlanReport { return this._plan.report() }
 
   /** Requests under which the upstream ended, for heartbeats. */
-  endedUnder (): readonly EndedRequest[] { return this._ended.list(this._now()) }
+  endedUnder (): readonly InterruptedRequest[] { return this._ended.list(this._now()) }
 
   /** Whether no request is queued or running. */
   get idle (): boolean { return this._runs.size === 0 }
@@ -79,7 +79,7 @@
   leave (): void { this._post({ kind: 'leave', at: this._now() }) }
 
   /** Takes work again after a drain. */
-  returnToWork (): void { this._post({ kind: 'return', at: this._now() }) }
+  resumeAccepting (): void { this._post({ kind: 'return', at: this._now() }) }
 
   /** Takes the engine's own word on what is loaded. */
   slotsListed (loaded: readonly string[]): void {
@@ -87,8 +87,8 @@
   }
 
   /** Takes a request frame. */
-  take (session: EntrySession, request: Request, refusal?: Failure): void {
-    const verdict = session.ledger.take(request.seq)
+  receiveRequest (session: EntrySession, request: Request, refusal?: Failure): void {
+    const verdict = session.ledger.register(request.seq)
     if (verdict === 'duplicate' && session.runs.has(request.seq)) return
     const run = new RequestRun(`${session.incarnation}.${request.seq}`, request, session)
     switch (verdict) {
@@ -123,7 +123,7 @@
   withdraw (session: EntrySession, frame: Withdraw): void {
     const run = session.runs.get(frame.seq)
     if (run === undefined) {
-      session.ledger.bury(frame.seq)
+      session.ledger.recordWithdrawal(frame.seq)
       return
     }
     this._giveUp(run)
@@ -154,7 +154,7 @@
         this._post({ kind: 'withdraw', at: this._now(), id: run.id })
         return
       case 'claiming':
-        run.unwanted = true
+        run.isWithdrawn = true
         return
       case 'running': {
         this._options.events.add('request-withdrawn', { request: request.id, upstream: this._options.upstream })
@@ -218,7 +218,7 @@
   private _finished (run: RequestRun, ran: boolean): void {
     if (!this._runs.delete(run.id)) return
     this._reloads.delete(run.id)
-    if (run.isWhole) this._ended.answered(() => digestOf(run.request))
+    if (run.isComplete) this._ended.answered(() => digestOf(run.request))
     this._options.events.add('request-ended', { request: run.request.id, upstream: this._options.upstream })
     this._post({ kind: 'finished', at: this._now(), id: run.id, ran })
   }
--- a/packages/sidecar/src/lib/request-run.ts
+++ b/packages/sidecar/src/lib/request-run.ts
@@ -25,7 +25,7 @@
 export class RequestRun {
   state: RunState = 'queued'
   /** The entry no longer wants the answer. */
-  unwanted = false
+  isWithdrawn = false
   handle: CallHandle | undefined
 
   private _head: Head | undefined
@@ -44,7 +44,7 @@
   constructor (readonly id: string, readonly request: Request, private readonly _link: EntryLink) {}
 
   /** Whether its whole answer has come. */
-  get isWhole (): boolean { return this.state === 'ended' && !this._failed }
+  get isComplete (): boolean { return this.state === 'ended' && !this._failed }
 
   /** Whether any of its answer has come from the upstream. */
   get hasAnswered (): boolean { return this._nextIndex > 0 }
--- a/packages/sidecar/src/lib/sidecar.ts
+++ b/packages/sidecar/src/lib/sidecar.ts
@@ -7,12 +7,12 @@
 import { type EntryFrame, type Hello, type Request, toWireDocument } from '@hazelford/wire'
 import { type ChannelServer, type Connection, type ConnectionHandler, defaultHeartbeatMs, startChannelServer } from './channel-server.js'
 import { Claims } from './claims.js'
-import { EngineSlots } from './engine-slots.js'
+import { AdapterSlots } from './adapter-slots.js'
 import { EntrySession } from './entry-session.js'
 import { Fence } from './fence.js'
 import { LoadPermits, type PermitLimits } from './load-permits.js'
-import { type ModelParts, RequestDesk } from './request-desk.js'
-import { Reporter } from './reporter.js'
+import { type ModelParts, RequestDispatcher } from './request-dispatcher.js'
+import { HeartbeatReporter } from './heartbeat-reporter.js'
 import type { SidecarOptions } from './sidecar-options.js'
 import { createModelRunner, createPlainRunner, type RunnerEvents, type UpstreamRunner } from './upstream-runner.js'
 
@@ -59,9 +59,9 @@
   private readonly _sessions = new Map<string, EntrySession>()
   private readonly _connections = new Map<Connection, EntrySession>()
   private readonly _fence: Fence
-  private readonly _desk: RequestDesk
-  private readonly _reporter: Reporter
-  private readonly _slots: EngineSlots | undefined
+  private readonly _desk: RequestDispatcher
+  private readonly _reporter: HeartbeatReporter
+  private readonly _slots: AdapterSlots | undefined
   private _server: ChannelServer | undefined
   private _state: SidecarState = 'cold'
   /** Whether everything that serving needs is there. */
@@ -77,14 +77,14 @@
     this._fence = new Fence({ kv, clock, log, events, upstream, sidecar: name, leaseMs })
     const model = this._createModelParts()
     this._slots = model?.slots
-    this._reporter = new Reporter(clock, {
+    this._reporter = new HeartbeatReporter(clock, {
       state: () => this._state,
       revision: () => this.config.revision,
       report: () => this._desk.report(),
       ended: () => this._desk.endedUnder(),
       connections: () => this._connections.keys()
     })
-    this._desk = new RequestDesk(_options, {
+    this._desk = new RequestDispatcher(_options, {
       limits: unsetLimits,
       ...(model === undefined ? {} : { model }),
       createRunner: runnerEvents => this._createRunner(runnerEvents, model),
@@ -170,7 +170,7 @@
     const { client, clock, log, events, upstream, kv, name } = this._options
     if (client.kind !== 'model') return undefined
     const checksFencing = (): boolean => this._upstream()?.fencing === 'checked'
-    const slots = new EngineSlots({ engine: client.engine, fence: this._fence, clock, log, events, upstream, checksFencing })
+    const slots = new AdapterSlots({ engine: client.engine, fence: this._fence, clock, log, events, upstream, checksFencing })
     const permits = new LoadPermits({ kv, clock, log, sidecar: name, limits: () => this._permitLimits() })
     return { slots, permits }
   }
@@ -245,7 +245,7 @@
     this._options.log.info('sidecar', 'state changed.', { state: next })
     this._options.events.add('drain', { upstream: this._options.upstream, note: next })
     if (next === 'leaving') this._desk.leave()
-    else this._desk.returnToWork()
+    else this._desk.resumeAccepting()
     this._reporter.send()
   }
 
@@ -307,7 +307,7 @@
   private _frame (session: EntrySession, connection: Connection, frame: EntryFrame): void {
     const { body } = frame
     switch (body?.$case) {
-      case 'request': return this._desk.take(session, body.value, this._refusal(body.value))
+      case 'request': return this._desk.receiveRequest(session, body.value, this._refusal(body.value))
       case 'withdraw': return this._desk.withdraw(session, body.value)
       case 'ack': {
         const run = session.runs.get(body.value.seq)
--- a/packages/sidecar/src/lib/upstream-runner.ts
+++ b/packages/sidecar/src/lib/upstream-runner.ts
@@ -4,7 +4,7 @@
 import { adapterKey, callDigest, classRank, type EventRing, failure, type Failure, parseTrafficClass } from '@hazelford/core'
 import type { AnswerHeader, AnswerSink, PlainClient, EngineClient } from '@hazelford/engine'
 import { type Claim, type Claims, keepAnswer, type KeptAnswer } from './claims.js'
-import type { EngineSlots } from './engine-slots.js'
+import type { AdapterSlots } from './adapter-slots.js'
 import type { RequestRun } from './request-run.js'
 
 /** How a run came out of the upstream. */
@@ -58,7 +58,7 @@
  * @param slots - engine-side names
  * @param events - how runs end
  */
-export function createModelRunner (engine: EngineClient, slots: EngineSlots, events: RunnerEvents): UpstreamRunner {
+export function createModelRunner (engine: EngineClient, slots: AdapterSlots, events: RunnerEvents): UpstreamRunner {
   return {
     start: run => {
       const { request } = run
@@ -78,7 +78,7 @@
         path: request.path,
         body: request.body,
         engineName,
-        shownName: adapter,
+        publicName: adapter,
         priority: classRank(parseTrafficClass(request.trafficClass) ?? 'interactive')
       }, { ...sink, fail })
     }
@@ -122,7 +122,7 @@
 
   fail = (cause: ReturnType<typeof failure>): void => {
     if (cause.verdict === 'not-run') this._claims.release(this._claim)
-    else this._claims.giveUp(this._claim)
+    else this._claims.markOutcomeUnknown(this._claim)
     this._run.end(cause)
     this._events.finished(this._run, cause.verdict !== 'not-run')
   }
@@ -169,7 +169,7 @@
     switch (outcome.kind) {
       case 'taken':
         // Withdrawn while the claim was on its way: nothing has run, and the key is free again.
-        if (run.unwanted) {
+        if (run.isWithdrawn) {
           claims.release(outcome.claim)
           return fail(run, failure('not-run', 'withdrawn', 'The request was withdrawn before it ran.'))
         }
--- a/packages/sidecar/src/test/claims.steps.ts
+++ b/packages/sidecar/src/test/claims.steps.ts
@@ -7,7 +7,7 @@
 import { EventRing, FakeClock, HybridClock, silentLog } from '@hazelford/core'
 import type { KvClient } from '@hazelford/consul'
 import { type ClaimOutcome, Claims, keepAnswer } from '../lib/claims.js'
-import { FakeKv, type KvFault, settlePromises } from './support/fake-kv.js'
+import { FakeKv, type KvFault, flushMicrotasks } from './support/fake-kv.js'
 
 const clock = new FakeClock()
 const key = 'key-1'
@@ -27,7 +27,7 @@
 async function passTime (): Promise<void> {
   for (let i = 0; i < 12; i++) {
     clock.advance(600)
-    await settlePromises()
+    await flushMicrotasks()
   }
 }
 
@@ -93,7 +93,7 @@
 
 When('it takes effect later', async () => {
   clock.advance(600)
-  await settlePromises()
+  await flushMicrotasks()
   kv.applyLate()
   assert.equal(kv.data.size, 1)
 })
--- a/packages/sidecar/src/test/fence.steps.ts
+++ b/packages/sidecar/src/test/fence.steps.ts
@@ -7,7 +7,7 @@
 import { type Clock, EventRing, FakeClock, HybridClock, silentLog } from '@hazelford/core'
 import type { KvClient } from '@hazelford/consul'
 import { Fence } from '../lib/fence.js'
-import { FakeKv, type KvFault, settlePromises } from './support/fake-kv.js'
+import { FakeKv, type KvFault, flushMicrotasks } from './support/fake-kv.js'
 
 const leaseMs = 1_000
 
@@ -54,7 +54,7 @@
     all.then(() => { done = true }, () => {})
     for (let i = 0; i < 200; i++) {
       if (done) break
-      await settlePromises(20)
+      await flushMicrotasks(20)
       kv.applyLate()
       time.advance(500)
     }
--- a/packages/sidecar/src/test/load-permits.steps.ts
+++ b/packages/sidecar/src/test/load-permits.steps.ts
@@ -5,7 +5,7 @@
 import { Given, Then } from '@cucumber/cucumber'
 import { FakeClock, silentLog } from '@hazelford/core'
 import { LoadPermits, type PermitLimits } from '../lib/load-permits.js'
-import { FakeKv, type KvFault, settlePromises } from './support/fake-kv.js'
+import { FakeKv, type KvFault, flushMicrotasks } from './support/fake-kv.js'
 
 const stepMs = 10
 let clock: FakeClock
@@ -17,7 +17,7 @@
 
 async function passTime (ms: number): Promise<void> {
   for (let past = 0; past < ms; past += stepMs) {
-    await settlePromises(30)
+    await flushMicrotasks(30)
     clock.advance(stepMs)
   }
 }
--- a/packages/sidecar/src/test/support/fake-kv.ts
+++ b/packages/sidecar/src/test/support/fake-kv.ts
@@ -88,6 +88,6 @@
 }
 
 /** Lets promises that are ready go on. */
-export async function settlePromises (rounds = 50): Promise<void> {
+export async function flushMicrotasks (rounds = 50): Promise<void> {
   for (let i = 0; i < rounds; i++) await Promise.resolve()
 }
