--- a/packages/decisions/src/lib/adapter-demand.ts
+++ b/packages/decisions/src/lib/adapter-demand.ts
@@ -27,12 +27,12 @@
 /** One step of priority outweighs this many times the requests. */
 const urgencyFactor = 3
 /** Time from the order of a load to the first event of a stream: the load itself and a prompt. */
-const leadTime: Ms = 400
+const loadLeadTime: Ms = 400
 /**
  * What an answer that comes late is worth to its caller, beside one in time. While slots are short, whoever can still be
  * in time goes first: in turn, all of them come late.
  */
-const lateWorth = 0.3
+const lateWeight = 0.3
 /** Time in which a change of demand shows. */
 const popularityHalfLife: Ms = 6_000
 const popularityCapacity = 5_000
@@ -42,27 +42,27 @@
 
 /** Counts what is asked for and keeps what waits. */
 export class AdapterDemand {
-  private readonly _waiting = new Map<string, PendingAdapter>()
+  private readonly _pending = new Map<string, PendingAdapter>()
   private readonly _popularity = new DecayedCounter(popularityHalfLife, popularityCapacity)
 
-  get size (): number { return this._waiting.size }
+  get size (): number { return this._pending.size }
 
   count (key: string, now: Ms): void { this._popularity.add(key, now) }
 
   popularity (key: string, now: Ms): number { return this._popularity.read(key, now) }
 
-  waits (key: string): boolean { return this._waiting.has(key) }
+  isPending (key: string): boolean { return this._pending.has(key) }
 
-  keys (): readonly string[] { return [...this._waiting.keys()] }
+  keys (): readonly string[] { return [...this._pending.keys()] }
 
-  waitsForModel (model: string): boolean { return [...this._waiting.values()].some(({ want }) => want.model === model) }
+  isModelPending (model: string): boolean { return [...this._pending.values()].some(({ want }) => want.model === model) }
 
-  served (key: string): void { this._waiting.delete(key) }
+  remove (key: string): void { this._pending.delete(key) }
 
   enqueue (want: RequestedAdapter, { urgency, until, dueAt }: DemandTerms, now: Ms): void {
     const key = requestedAdapterKey(want)
-    const earlier = this._waiting.get(key)
-    this._waiting.set(key, {
+    const earlier = this._pending.get(key)
+    this._pending.set(key, {
       want,
       urgency: Math.min(urgency, earlier?.urgency ?? Infinity),
       since: earlier?.since ?? now,
@@ -73,7 +73,7 @@
 
   /** A load that nobody waits for any more takes a slot from one that somebody does. */
   dropExpired (now: Ms): void {
-    for (const [key, { until }] of this._waiting) if (until <= now) this._waiting.delete(key)
+    for (const [key, { until }] of this._pending) if (until <= now) this._pending.delete(key)
   }
 
   /**
@@ -81,15 +81,15 @@
    * counted more the more urgent they are and the sooner it is of use. Each entry asks again
    * while it waits, so that what waits long gains weight too.
    */
-  inOrder (now: Ms): readonly PendingAdapter[] {
-    return [...this._waiting.values()]
+  byPriority (now: Ms): readonly PendingAdapter[] {
+    return [...this._pending.values()]
       .map(waiting => ({ waiting, weight: this._weight(waiting, now) }))
       .sort((a, b) => b.weight - a.weight || a.waiting.since - b.waiting.since)
       .map(({ waiting }) => waiting)
   }
 
   private _weight ({ want, urgency, dueAt }: PendingAdapter, now: Ms): number {
-    const worth = now + leadTime <= dueAt ? 1 : lateWorth
-    return this.popularity(requestedAdapterKey(want), now) * urgencyFactor ** -urgency * worth
+    const timeliness = now + loadLeadTime <= dueAt ? 1 : lateWeight
+    return this.popularity(requestedAdapterKey(want), now) * urgencyFactor ** -urgency * timeliness
   }
 }
--- a/packages/decisions/src/lib/adapter-plan.ts
+++ b/packages/decisions/src/lib/adapter-plan.ts
@@ -35,16 +35,16 @@
 const maxInTransit = 4
 /** A report lags by some hundred ms; a later one shows the effect of an order. */
 const reportLag: Ms = 250
-const conflictPause: Ms = 100
+const conflictBackoff: Ms = 100
 /**
  * Times an order without an answer is sent again before the engine is asked for a report. With a third of
  * the orders unanswered, one order in 2,000 gets this far.
  */
-const maxRepeats = 6
+const maxOrderRetries = 6
 /** How soon a plan that found no slot looks again. */
-const slotRetry: Ms = 50
+const slotRetryInterval: Ms = 50
 /** An adapter just loaded stays this long, for those who waited for it. */
-const settleTime: Ms = 150
+const loadedReservation: Ms = 150
 
 interface Slot {
   readonly model: string
@@ -60,8 +60,8 @@
   orderedAt: Ms
   readyAt: Ms
   /** Whether its load was not over when it should have been. */
-  late: boolean
-  promisedUntil: Ms
+  isLate: boolean
+  reservedUntil: Ms
 }
 
 /** How an adapter is asked for. */
@@ -86,11 +86,11 @@
   private _models = new Map<string, 'loaded' | 'in-transit' | 'unknown'>()
   private readonly _demand = new AdapterDemand()
   private readonly _uses = new AdapterUses()
-  private readonly _times = new LoadTimes()
+  private readonly _loadTimes = new LoadTimes()
   /** An order without an answer; it is sent again before any other. */
-  private _unanswered: PlanAction & { readonly kind: 'load' | 'unload' } | undefined
-  private _repeats = 0
-  private _mustReport = true
+  private _unansweredOrder: PlanAction & { readonly kind: 'load' | 'unload' } | undefined
+  private _orderRetries = 0
+  private _needsReport = true
   private _reportAt: Ms = 0
   private _orders = 0
 
@@ -113,39 +113,39 @@
    * @param askedAt - time
    */
   applyReport (report: EngineReport, askedAt: Ms): void {
-    this._unanswered = undefined
+    this._unansweredOrder = undefined
     this._orders = report.orders
-    const held = this._slots
+    const previous = this._slots
     this._slots = new Map()
     this._models = new Map(report.models.map(({ model }) => [model, 'loaded']))
-    this._mustReport = false
-    for (const model of report.models) this._takeModel(model, held, askedAt)
+    this._needsReport = false
+    for (const model of report.models) this._applyModelReport(model, previous, askedAt)
     for (const { model, adapter, version } of report.coming) {
       const key = slotKey(model, adapter)
-      const before = held.get(key)
+      const before = previous.get(key)
       const ordered = before?.state === 'in-transit' || before?.state === 'unknown' ? before : undefined
-      this._slots.set(key, { model, adapter, version, state: 'in-transit', orderedAt: ordered?.orderedAt ?? askedAt, readyAt: Math.max(ordered?.readyAt ?? 0, askedAt + this._times.shortest), late: false, promisedUntil: 0 })
+      this._slots.set(key, { model, adapter, version, state: 'in-transit', orderedAt: ordered?.orderedAt ?? askedAt, readyAt: Math.max(ordered?.readyAt ?? 0, askedAt + this._loadTimes.shortest), isLate: false, reservedUntil: 0 })
     }
     // An order that was accepted after the report's values were read isn't in it yet.
-    for (const [key, slot] of held) {
+    for (const [key, slot] of previous) {
       if (slot.state === 'in-transit' && slot.readyAt > askedAt - reportLag && !this._slots.has(key)) this._slots.set(key, slot)
     }
-    if (report.busy) this._askAgain(askedAt + reportLag)
+    if (report.busy) this._scheduleReport(askedAt + reportLag)
   }
 
-  private _takeModel ({ model, adapters }: EngineModel, held: ReadonlyMap<string, Slot>, askedAt: Ms): void {
+  private _applyModelReport ({ model, adapters }: EngineModel, previous: ReadonlyMap<string, Slot>, askedAt: Ms): void {
     for (const { adapter, version } of adapters) {
       const key = slotKey(model, adapter)
-      const before = held.get(key)
+      const before = previous.get(key)
       const leaving = before?.state === 'unloading'
-      if (leaving) this._askAgain(askedAt + reportLag)
-      this._slots.set(key, { model, adapter, version, state: leaving ? 'unloading' : 'loaded', orderedAt: 0, readyAt: -Infinity, late: false, promisedUntil: before?.promisedUntil ?? 0 })
-      this._times.remember(key)
+      if (leaving) this._scheduleReport(askedAt + reportLag)
+      this._slots.set(key, { model, adapter, version, state: leaving ? 'unloading' : 'loaded', orderedAt: 0, readyAt: -Infinity, isLate: false, reservedUntil: before?.reservedUntil ?? 0 })
+      this._loadTimes.markRecent(key)
     }
   }
 
-  private _askAgain (at: Ms): void {
-    this._mustReport = true
+  private _scheduleReport (at: Ms): void {
+    this._needsReport = true
     this._reportAt = at
   }
 
@@ -167,7 +167,7 @@
   addUse (entry: string, model: string, adapter: string, now: Ms): void {
     this._uses.add(entry, slotKey(model, adapter), now)
     const slot = this._slots.get(slotKey(model, adapter))
-    if (slot !== undefined) slot.promisedUntil = Math.max(slot.promisedUntil, now + readyReservation)
+    if (slot !== undefined) slot.reservedUntil = Math.max(slot.reservedUntil, now + readyReservation)
   }
 
   /**
@@ -176,40 +176,40 @@
    */
   extendReservation (model: string, adapter: string, until: Ms): void {
     const slot = this._slots.get(slotKey(model, adapter))
-    if (slot !== undefined) slot.promisedUntil = Math.max(slot.promisedUntil, until)
+    if (slot !== undefined) slot.reservedUntil = Math.max(slot.reservedUntil, until)
   }
 
   /**
    * Asks for an adapter, or for a model alone.
    *
-   * @param want - in the version declared, if one is
+   * @param requested - in the version declared, if one is
    * @param terms - how urgent, for how long
    * @param now - time
    */
-  requestAdapter (want: RequestedAdapter, terms: LoadRequestTerms, now: Ms): Readiness {
-    const key = requestedAdapterKey(want)
+  requestAdapter (requested: RequestedAdapter, terms: LoadRequestTerms, now: Ms): Readiness {
+    const key = requestedAdapterKey(requested)
     if (!terms.repeated) this._demand.count(key, now)
     const slot = this._slots.get(key)
-    if (terms.missing && slot !== undefined) this._distrust(slot, now)
-    const ready = this.reserve(want, now)
+    if (terms.missing && slot !== undefined) this._invalidate(slot, now)
+    const ready = this.reserve(requested, now)
     if (ready !== undefined) return ready
-    if (!terms.mayWait && this._occupied(key, slot, now)) return { kind: 'occupied' }
-    this._demand.enqueue(want, terms, now)
+    if (!terms.mayWait && this._isOccupied(key, slot, now)) return { kind: 'occupied' }
+    this._demand.enqueue(requested, terms, now)
     return { kind: 'coming' }
   }
 
   /** Whether it takes the end of somebody's requests to make room. */
-  private _occupied (key: string, slot: Slot | undefined, now: Ms): boolean {
+  private _isOccupied (key: string, slot: Slot | undefined, now: Ms): boolean {
     if (slot !== undefined) return slot.state === 'unloading' || (slot.state === 'loaded' && this._uses.inUse(key, now))
     const ahead = this._demand.keys().filter(other => !this._slots.has(other)).length
     const free = this._spec.adapterSlots - this._slots.size - ahead
-    return free <= 0 && this._victims(now) <= ahead
+    return free <= 0 && this._countEvictable(now) <= ahead
   }
 
-  private _victims (now: Ms): number {
-    let victims = 0
-    for (const [key, slot] of this._slots) if (this._mayGo(key, slot, now)) victims++
-    return victims
+  private _countEvictable (now: Ms): number {
+    let count = 0
+    for (const [key, slot] of this._slots) if (this._isEvictable(key, slot, now)) count++
+    return count
   }
 
   /**
@@ -217,33 +217,33 @@
    *
    * @returns undefined when it can't be
    */
-  reserve (want: RequestedAdapter, now: Ms): Readiness & { readonly kind: 'ready' } | undefined {
-    const key = requestedAdapterKey(want)
-    if (want.adapter === undefined) {
-      if (!this.hasModelLoaded(want.model)) return undefined
-      this._demand.served(key)
+  reserve (requested: RequestedAdapter, now: Ms): Readiness & { readonly kind: 'ready' } | undefined {
+    const key = requestedAdapterKey(requested)
+    if (requested.adapter === undefined) {
+      if (!this.hasModelLoaded(requested.model)) return undefined
+      this._demand.remove(key)
       return { kind: 'ready', until: now + readyReservation, version: undefined }
     }
     const slot = this._slots.get(key)
-    if (slot === undefined || !this._usable(slot, want)) return undefined
-    slot.promisedUntil = Math.max(slot.promisedUntil, now + readyReservation)
-    this._demand.served(key)
-    return { kind: 'ready', until: slot.promisedUntil, version: slot.version }
+    if (slot === undefined || !this._isUsable(slot, requested)) return undefined
+    slot.reservedUntil = Math.max(slot.reservedUntil, now + readyReservation)
+    this._demand.remove(key)
+    return { kind: 'ready', until: slot.reservedUntil, version: slot.version }
   }
 
   hasAdapterSlot (model: string, adapter: string): boolean { return this._slots.has(slotKey(model, adapter)) }
 
-  private _usable (slot: Slot, want: RequestedAdapter): boolean {
-    if (want.version !== undefined && (slot.version ?? 0) < want.version) return false
+  private _isUsable (slot: Slot, requested: RequestedAdapter): boolean {
+    if (requested.version !== undefined && (slot.version ?? 0) < requested.version) return false
     return slot.state === 'loaded'
   }
 
   /** The engine lacks what the plan took for loaded: the load is late, or its view is wrong. */
-  private _distrust (slot: Slot, now: Ms): void {
+  private _invalidate (slot: Slot, now: Ms): void {
     slot.state = 'unknown'
     slot.orderedAt = now
     slot.readyAt = now
-    this._askAgain(now)
+    this._scheduleReport(now)
   }
 
   /** When the next load should be over; undefined when none is under way. */
@@ -262,18 +262,18 @@
    */
   nextAction (now: Ms): PlanAction {
     this._demand.dropExpired(now)
-    if (this._mustReport) return now >= this._reportAt ? { kind: 'report' } : { kind: 'idle', until: this._reportAt }
-    if (this._unanswered !== undefined) return this._unanswered
-    const due = this._dueConfirmation(now)
+    if (this._needsReport) return now >= this._reportAt ? { kind: 'report' } : { kind: 'idle', until: this._reportAt }
+    if (this._unansweredOrder !== undefined) return this._unansweredOrder
+    const due = this._loadToConfirm(now)
     if (due !== undefined) return due
     const model = this._modelToLoad()
     if (model !== undefined) return { kind: 'load', target: { model } }
-    for (const { want } of this._demand.inOrder(now)) {
+    for (const { want } of this._demand.byPriority(now)) {
       const action = want.adapter === undefined ? undefined : this._actionFor(want, now)
       if (action !== undefined) return action
     }
     // A waiting adapter may need a slot whose promise runs out.
-    const retry = this._demand.size > 0 ? now + slotRetry : Infinity
+    const retry = this._demand.size > 0 ? now + slotRetryInterval : Infinity
     return { kind: 'idle', until: Math.min(retry, this.nextLoadDueAt(now) ?? Infinity) }
   }
 
@@ -281,7 +281,7 @@
    * A load whose time should be over. Its order is sent once more: the engine says at once
    * whether it holds, while a report lags by some hundred ms.
    */
-  private _dueConfirmation (now: Ms): PlanAction | undefined {
+  private _loadToConfirm (now: Ms): PlanAction | undefined {
     for (const slot of this._slots.values()) {
       if (slot.state === 'in-transit' && now >= slot.readyAt) return { kind: 'load', target: targetOf(slot) }
     }
@@ -297,20 +297,20 @@
     if ([...this._models.values()].includes('in-transit')) return undefined
     const room = this._spec.weightsMb - this._spec.models.filter(({ name }) => this._models.has(name)).reduce((sum, { weightsMb }) => sum + weightsMb, 0)
     const absent = this._spec.models.filter(({ name, weightsMb }) => !this._models.has(name) && weightsMb <= room)
-    const asked = absent.find(({ name }) => this._demand.waitsForModel(name))
-    return (asked ?? (this._models.size === 0 ? absent[0] : undefined))?.name
+    const requested = absent.find(({ name }) => this._demand.isModelPending(name))
+    return (requested ?? (this._models.size === 0 ? absent[0] : undefined))?.name
   }
 
-  private _actionFor (want: RequestedAdapter, now: Ms): PlanAction | undefined {
-    const { model, adapter } = want
+  private _actionFor (requested: RequestedAdapter, now: Ms): PlanAction | undefined {
+    const { model, adapter } = requested
     if (adapter === undefined || !this.hasModelLoaded(model)) return undefined
     const slot = this._slots.get(slotKey(model, adapter))
-    if (slot !== undefined && (slot.state !== 'loaded' || this._usable(slot, want))) return undefined
-    if (this._inTransit() >= maxInTransit || !this._storeHasRoom(want)) return undefined
+    if (slot !== undefined && (slot.state !== 'loaded' || this._isUsable(slot, requested))) return undefined
+    if (this._inTransit() >= maxInTransit || !this._storeHasRoom(requested)) return undefined
     // A newer version takes the slot of the older one, once its requests have ended: until
     // then the engine would refuse new ones.
-    if (slot !== undefined) return this._uses.inUse(slotKey(model, adapter), now) ? undefined : { kind: 'load', target: want }
-    if (this._slots.size < this._spec.adapterSlots && this._weightsFit(model)) return { kind: 'load', target: want }
+    if (slot !== undefined) return this._uses.inUse(slotKey(model, adapter), now) ? undefined : { kind: 'load', target: requested }
+    if (this._slots.size < this._spec.adapterSlots && this._weightsFit(model)) return { kind: 'load', target: requested }
     const victim = this._victim(now)
     return victim === undefined ? undefined : { kind: 'unload', target: { model: victim.model, adapter: victim.adapter } }
   }
@@ -326,9 +326,9 @@
    * more loads at once bring no adapter sooner and each one later.
    */
   private _storeHasRoom ({ model, adapter }: RequestedAdapter): boolean {
-    if (this._times.isRecent(slotKey(model, adapter ?? ''))) return true
-    const fresh = [...this._slots].filter(([key, slot]) => slot.state === 'in-transit' && !this._times.isRecent(key)).length
-    return fresh < Math.max(1, Math.floor(maxInTransit / Math.max(1, this._times.slowdown) ** 2))
+    if (this._loadTimes.isRecent(slotKey(model, adapter ?? ''))) return true
+    const fresh = [...this._slots].filter(([key, slot]) => slot.state === 'in-transit' && !this._loadTimes.isRecent(key)).length
+    return fresh < Math.max(1, Math.floor(maxInTransit / Math.max(1, this._loadTimes.slowdown) ** 2))
   }
 
   private _weightsFit (model: string): boolean {
@@ -345,8 +345,8 @@
    * One that a request was promised must not go: the request would be refused by the
    * engine, or wait for a load that it was told is done.
    */
-  private _mayGo (key: string, slot: Slot, now: Ms): boolean {
-    return slot.state === 'loaded' && slot.promisedUntil <= now && !this._demand.waits(key) && !this._uses.inUse(key, now)
+  private _isEvictable (key: string, slot: Slot, now: Ms): boolean {
+    return slot.state === 'loaded' && slot.reservedUntil <= now && !this._demand.isPending(key) && !this._uses.inUse(key, now)
   }
 
   /** The least used adapter that may go. */
@@ -354,11 +354,11 @@
     let worst: Slot | undefined
     let least = Infinity
     for (const [key, slot] of this._slots) {
-      if (!this._mayGo(key, slot, now)) continue
-      const worth = this._demand.popularity(key, now)
-      if (worth >= least) continue
+      if (!this._isEvictable(key, slot, now)) continue
+      const popularity = this._demand.popularity(key, now)
+      if (popularity >= least) continue
       worst = slot
-      least = worth
+      least = popularity
     }
     return worst
   }
@@ -371,26 +371,26 @@
    * @param now - time
    */
   recordOrderOutcome (action: PlanAction & { readonly kind: 'load' | 'unload' }, outcome: EngineOrderOutcome | undefined, now: Ms): void {
-    this._unanswered = undefined
+    this._unansweredOrder = undefined
     switch (outcome) {
       case 'accepted':
       case 'holds':
-        this._repeats = 0
+        this._orderRetries = 0
         if (this._isCounted(action, outcome)) this._orders++
         if (action.kind === 'load') this._loadAccepted(action.target, outcome, now)
         else this._unloadAccepted(action.target, outcome, now)
         return
       case undefined:
-        this._noAnswer(action, now)
+        this._handleNoAnswer(action, now)
         return
       case 'conflict':
         // Reports lag; the order that was counted may be too young to be in one yet.
-        this._askAgain(now + conflictPause)
+        this._scheduleReport(now + conflictBackoff)
         return
       case 'refused':
       case 'fenced':
       case 'other-instance':
-        this._askAgain(now + reportLag)
+        this._scheduleReport(now + reportLag)
         return
       default: assertNever(outcome)
     }
@@ -418,55 +418,55 @@
    * refuses the first whenever it comes. Until then a load counts as holding its slot,
    * or one too many could follow.
    */
-  private _noAnswer (action: PlanAction & { readonly kind: 'load' | 'unload' }, now: Ms): void {
-    if (action.kind === 'load') this._noteUnknown(action.target, now)
-    if (++this._repeats > maxRepeats) {
-      this._repeats = 0
-      this._askAgain(now + reportLag)
+  private _handleNoAnswer (action: PlanAction & { readonly kind: 'load' | 'unload' }, now: Ms): void {
+    if (action.kind === 'load') this._recordUnknown(action.target, now)
+    if (++this._orderRetries > maxOrderRetries) {
+      this._orderRetries = 0
+      this._scheduleReport(now + reportLag)
     } else {
-      this._unanswered = action
+      this._unansweredOrder = action
     }
   }
 
-  private _noteUnknown ({ model, adapter, version }: LoadTarget, now: Ms): void {
+  private _recordUnknown ({ model, adapter, version }: LoadTarget, now: Ms): void {
     if (adapter === undefined) this._models.set(model, 'unknown')
-    else if (!this._slots.has(slotKey(model, adapter))) this._slots.set(slotKey(model, adapter), { model, adapter, version, state: 'unknown', orderedAt: now, readyAt: now, late: false, promisedUntil: 0 })
+    else if (!this._slots.has(slotKey(model, adapter))) this._slots.set(slotKey(model, adapter), { model, adapter, version, state: 'unknown', orderedAt: now, readyAt: now, isLate: false, reservedUntil: 0 })
   }
 
   private _loadAccepted ({ model, adapter, version }: LoadTarget, outcome: 'accepted' | 'holds', now: Ms): void {
     if (adapter === undefined) {
       this._models.set(model, outcome === 'holds' ? 'loaded' : 'in-transit')
-      if (outcome === 'accepted') this._askAgain(now + reportLag)
+      if (outcome === 'accepted') this._scheduleReport(now + reportLag)
       return
     }
     const key = slotKey(model, adapter)
     const before = this._slots.get(key)
     const confirms = before?.state === 'in-transit'
-    const slot: Slot = before ?? { model, adapter, version, state: 'in-transit', orderedAt: now, readyAt: now, late: false, promisedUntil: 0 }
+    const slot: Slot = before ?? { model, adapter, version, state: 'in-transit', orderedAt: now, readyAt: now, isLate: false, reservedUntil: 0 }
     slot.version = version ?? slot.version
     this._slots.set(key, slot)
     if (outcome === 'holds') this._loadEnded(key, slot, now)
     else if (confirms) this._loadLate(slot, now)
-    else this._loadBegun(key, slot, now)
+    else this._loadStarted(key, slot, now)
   }
 
-  private _loadBegun (key: string, slot: Slot, now: Ms): void {
+  private _loadStarted (key: string, slot: Slot, now: Ms): void {
     slot.state = 'in-transit'
     slot.orderedAt = now
-    slot.late = false
-    slot.readyAt = now + this._times.expected(key)
+    slot.isLate = false
+    slot.readyAt = now + this._loadTimes.expected(key)
   }
 
   private _loadLate (slot: Slot, now: Ms): void {
-    slot.late = true
-    slot.readyAt = now + this._times.retryAfter(now - slot.orderedAt)
+    slot.isLate = true
+    slot.readyAt = now + this._loadTimes.retryAfter(now - slot.orderedAt)
   }
 
   private _loadEnded (key: string, slot: Slot, now: Ms): void {
-    if (slot.state === 'in-transit') this._times.learn(key, now - slot.orderedAt, slot.late)
+    if (slot.state === 'in-transit') this._loadTimes.record(key, now - slot.orderedAt, slot.isLate)
     slot.state = 'loaded'
-    slot.promisedUntil = Math.max(slot.promisedUntil, now + settleTime)
-    this._times.remember(key)
+    slot.reservedUntil = Math.max(slot.reservedUntil, now + loadedReservation)
+    this._loadTimes.markRecent(key)
   }
 
   private _unloadAccepted ({ model, adapter }: LoadTarget, outcome: 'accepted' | 'holds', now: Ms): void {
@@ -479,6 +479,6 @@
       return
     }
     slot.state = 'unloading'
-    this._askAgain(now + reportLag)
+    this._scheduleReport(now + reportLag)
   }
 }
--- a/packages/decisions/src/lib/adapter-uses.ts
+++ b/packages/decisions/src/lib/adapter-uses.ts
@@ -4,22 +4,22 @@
 import type { Ms } from '@hazelford/core'
 
 /** Age at which an entry's word no longer counts; streams last a few seconds. */
-const useLasts: Ms = 4_000
+const useReportTtl: Ms = 4_000
 
 /** Adapters in use at one engine. */
 export class AdapterUses {
-  private readonly _words = new Map<string, { readonly keys: ReadonlySet<string>, readonly at: Ms }>()
+  private readonly _reports = new Map<string, { readonly keys: ReadonlySet<string>, readonly at: Ms }>()
 
   /** Takes an entry's word; it replaces the one before. */
-  note (entry: string, keys: Iterable<string>, now: Ms): void { this._words.set(entry, { keys: new Set(keys), at: now }) }
+  note (entry: string, keys: Iterable<string>, now: Ms): void { this._reports.set(entry, { keys: new Set(keys), at: now }) }
 
   /** Notes a request that is about to use an adapter, until its entry's next word. */
   add (entry: string, key: string, now: Ms): void {
-    this._words.set(entry, { keys: new Set([...(this._words.get(entry)?.keys ?? []), key]), at: now })
+    this._reports.set(entry, { keys: new Set([...(this._reports.get(entry)?.keys ?? []), key]), at: now })
   }
 
   inUse (key: string, now: Ms): boolean {
-    for (const { keys, at } of this._words.values()) if (now - at < useLasts && keys.has(key)) return true
+    for (const { keys, at } of this._reports.values()) if (now - at < useReportTtl && keys.has(key)) return true
     return false
   }
 }
--- a/packages/decisions/src/lib/batch-slots.ts
+++ b/packages/decisions/src/lib/batch-slots.ts
@@ -7,9 +7,9 @@
  * Age at which an entry's word counts no more: it is gone, and the engine has ended its requests. An entry that lives tells
  * each end within some 20 ms, and few streams run for longer than this without another one's end.
  */
-const wordLasts: Ms = 5_000
+const reportTtl: Ms = 5_000
 
-interface Word { readonly requests: number, readonly at: Ms }
+interface EntryReport { readonly requests: number, readonly at: Ms }
 
 /**
  * Requests at one engine, as its holder counts them: by the entries' words, and those let in since.
@@ -19,25 +19,25 @@
  * free on others. The holder is asked for each request anyhow.
  */
 export class BatchSlots {
-  private readonly _words = new Map<string, Word>()
+  private readonly _reports = new Map<string, EntryReport>()
 
   /** @param _slots - requests that the engine runs at once */
   constructor (private readonly _slots: number) {}
 
   /** Takes an entry's word on its open requests; it replaces the one before. */
-  note (entry: string, requests: number, now: Ms): void { this._words.set(entry, { requests, at: now }) }
+  note (entry: string, requests: number, now: Ms): void { this._reports.set(entry, { requests, at: now }) }
 
   /** Counts a request that was let in, until its entry's next word. */
   admit (entry: string, now: Ms): void {
-    const word = this._words.get(entry)
-    const before = word === undefined || now - word.at >= wordLasts ? 0 : word.requests
-    this._words.set(entry, { requests: before + 1, at: now })
+    const report = this._reports.get(entry)
+    const before = report === undefined || now - report.at >= reportTtl ? 0 : report.requests
+    this._reports.set(entry, { requests: before + 1, at: now })
   }
 
   /** Requests of all entries. */
   running (now: Ms): number {
     let sum = 0
-    for (const { requests, at } of this._words.values()) if (now - at < wordLasts) sum += requests
+    for (const { requests, at } of this._reports.values()) if (now - at < reportTtl) sum += requests
     return sum
   }
 
@@ -48,10 +48,10 @@
    * Expected wait of one more request for a place.
    *
    * @param waiting - requests before it
-   * @param stay - ms that a request stays in its place
+   * @param serviceTime - ms that a request stays in its place
    */
-  expectedWait (waiting: number, stay: Ms, now: Ms): Ms {
+  expectedWait (waiting: number, serviceTime: Ms, now: Ms): Ms {
     const behind = waiting + 1 - this.free(now)
-    return behind <= 0 ? 0 : behind * stay / this._slots
+    return behind <= 0 ? 0 : behind * serviceTime / this._slots
   }
 }
--- a/packages/decisions/src/lib/choose-upstream.ts
+++ b/packages/decisions/src/lib/choose-upstream.ts
@@ -27,7 +27,7 @@
 /** A load elsewhere costs the shared weight store, not only this request. */
 const extraReplicaFactor = 2
 /** An adapter's preferred upstream may carry this much more than the mean. */
-const loadBound = 1.25
+const loadBoundFactor = 1.25
 /** Costs closer than this (ms) count as equal. */
 const costTolerance: Ms = 2
 
@@ -37,9 +37,9 @@
 const defaultLoadMs: Ms = 500
 const defaultServiceMs: Ms = 200
 
-function meanKnown (values: readonly Ms[], unknown: Ms): Ms {
+function meanKnown (values: readonly Ms[], fallback: Ms): Ms {
   const known = values.filter(value => value > 0)
-  return known.length === 0 ? unknown : known.reduce((sum, value) => sum + value, 0) / known.length
+  return known.length === 0 ? fallback : known.reduce((sum, value) => sum + value, 0) / known.length
 }
 
 /**
@@ -76,7 +76,7 @@
 /** Rank of each candidate for an adapter that is loaded nowhere, bounded by load. */
 function placementOrder (adapter: AdapterKey, candidates: readonly UpstreamView[], now: Ms): ReadonlyMap<string, number> {
   const mean = candidates.reduce((sum, view) => sum + view.load / view.report.places, 0) / candidates.length
-  const bound = loadBound * mean + 1 / candidates.length
+  const bound = loadBoundFactor * mean + 1 / candidates.length
   const order = rendezvousOrder(adapter, candidates.map(view => view.name))
   const byName = new Map(candidates.map(view => [view.name, view]))
   const fits = (name: string): boolean => {
@@ -87,19 +87,19 @@
   return new Map(sorted.map((name, rank) => [name, rank]))
 }
 
-function stallCost (view: UpstreamView, adapter: AdapterKey, heldSomewhere: boolean, times: Estimates): Ms {
+function stallCost (view: UpstreamView, adapter: AdapterKey, isLoadedSomewhere: boolean, times: Estimates): Ms {
   switch (view.adapterState(adapter)) {
     case 'loaded': return 0
     case 'loading': return times.loadMs / 2
     // Every load takes its turn at the one weight store, behind those that wait at
     // any upstream.
-    case 'absent': return times.loadMs * (1 + times.backlog) * (heldSomewhere ? extraReplicaFactor : 1)
+    case 'absent': return times.loadMs * (1 + times.backlog) * (isLoadedSomewhere ? extraReplicaFactor : 1)
   }
 }
 
 /** A fuller batch is no reason to load an adapter a second time. */
-function isExtraReplica (view: UpstreamView, adapter: AdapterKey, heldSomewhere: boolean): boolean {
-  return heldSomewhere && view.adapterState(adapter) === 'absent'
+function isExtraReplica (view: UpstreamView, adapter: AdapterKey, isLoadedSomewhere: boolean): boolean {
+  return isLoadedSomewhere && view.adapterState(adapter) === 'absent'
 }
 
 /** Gain of joining a batch that runs and has room, in ms of service. */
@@ -128,23 +128,23 @@
   const candidates = candidatesOf(query, views, now)
   if (candidates.length === 0) return undefined
   if (query.affinityKey !== undefined) {
-    const home = rendezvousOrder(query.affinityKey, candidates.map(view => view.name))[0]
-    return candidates.find(view => view.name === home)
+    const preferred = rendezvousOrder(query.affinityKey, candidates.map(view => view.name))[0]
+    return candidates.find(view => view.name === preferred)
   }
   if (query.adapter === undefined) return lighterOfTwo(candidates, query, weights, now, random)
 
   const { adapter } = query
-  const heldSomewhere = candidates.some(view => view.adapterState(adapter) !== 'absent')
+  const isLoadedSomewhere = candidates.some(view => view.adapterState(adapter) !== 'absent')
   const placement = placementOrder(adapter, candidates, now)
   const times = estimatesOf(candidates)
   let best: UpstreamView | undefined
   let least = Infinity
   for (const view of candidates) {
-    const cost = weights.stall * stallCost(view, adapter, heldSomewhere, times) +
+    const cost = weights.stall * stallCost(view, adapter, isLoadedSomewhere, times) +
       weights.queue * view.queueWait(times.serviceMs) / view.warmth(now) -
-      weights.batch * (isExtraReplica(view, adapter, heldSomewhere) ? 0 : batchGain(view, times.serviceMs)) +
+      weights.batch * (isExtraReplica(view, adapter, isLoadedSomewhere) ? 0 : batchGain(view, times.serviceMs)) +
       (view.zone === query.zone ? 0 : weights.zonePenalty) +
-      (heldSomewhere ? 0 : placement.get(view.name)! * times.loadMs) +
+      (isLoadedSomewhere ? 0 : placement.get(view.name)! * times.loadMs) +
       // Entries see the same late reports. A little noise keeps them from all
       // choosing the same upstream between two reports.
       random() * costTolerance
--- a/packages/decisions/src/lib/decayed-counter.ts
+++ b/packages/decisions/src/lib/decayed-counter.ts
@@ -5,7 +5,7 @@
 
 interface Count { readonly value: number, readonly at: Ms }
 
-const forgetBelow = 0.01
+const pruneThreshold = 0.01
 
 /** Exponentially decayed counts by key. */
 export class DecayedCounter {
@@ -32,7 +32,7 @@
 
   private _prune (at: Ms): void {
     for (const key of this._counts.keys()) {
-      if (this.read(key, at) < forgetBelow) this._counts.delete(key)
+      if (this.read(key, at) < pruneThreshold) this._counts.delete(key)
     }
     // All may still be above the floor; insertion order then stands for age.
     for (const key of this._counts.keys()) {
--- a/packages/decisions/src/lib/engine-assignment.ts
+++ b/packages/decisions/src/lib/engine-assignment.ts
@@ -15,7 +15,7 @@
 /** An engine to be given to another entry. */
 export interface Handover { readonly engine: string, readonly to: string }
 
-function heldCounts ({ entries, holders }: EngineAssignment): Map<string, number> {
+function countHeldEngines ({ entries, holders }: EngineAssignment): Map<string, number> {
   const counts = new Map(entries.map(entry => [entry, 0]))
   for (const holder of holders.values()) {
     const count = counts.get(holder)
@@ -32,23 +32,23 @@
  * it leaves all of them without orders.
  *
  * @param free - engines without a holder
- * @param shares - entries and holders
+ * @param assignment - entries and holders
  * @returns for each engine the entries, the first to claim it first; alike on all entries with the same view
  */
-export function claimSequences (free: readonly string[], shares: EngineAssignment): ReadonlyMap<string, readonly string[]> {
-  const counts = heldCounts(shares)
-  const orders = new Map<string, readonly string[]>()
+export function claimSequences (free: readonly string[], assignment: EngineAssignment): ReadonlyMap<string, readonly string[]> {
+  const counts = countHeldEngines(assignment)
+  const sequences = new Map<string, readonly string[]>()
   for (const engine of [...free].sort()) {
-    const order = [...rendezvousOrder(engine, shares.entries)].sort((a, b) => counts.get(a)! - counts.get(b)!)
-    orders.set(engine, order)
-    const [first] = order
+    const sequence = [...rendezvousOrder(engine, assignment.entries)].sort((a, b) => counts.get(a)! - counts.get(b)!)
+    sequences.set(engine, sequence)
+    const [first] = sequence
     if (first !== undefined) counts.set(first, counts.get(first)! + 1)
   }
-  return orders
+  return sequences
 }
 
 /** Difference in engines held from which one is handed over; at 1 they would go back and forth. */
-const unevenBy = 2
+const minImbalance = 2
 
 /**
  * Finds the engine that an entry should hand over.
@@ -57,22 +57,22 @@
  * would leave the receiver with too many.
  *
  * @param self - the entry that asks
- * @param shares - entries that can take engines, and holders
- * @param mayGo - whether an engine may change hands now
+ * @param assignment - entries that can take engines, and holders
+ * @param mayMove - whether an engine may change hands now
  * @returns undefined when the engines are even, or somebody else has to give
  */
-export function pickHandover (self: string, shares: EngineAssignment, mayGo: (engine: string) => boolean): Handover | undefined {
-  const ranked = [...heldCounts(shares)].sort(([a, most], [b, least]) => least - most || (a < b ? -1 : 1))
+export function pickHandover (self: string, assignment: EngineAssignment, mayMove: (engine: string) => boolean): Handover | undefined {
+  const ranked = [...countHeldEngines(assignment)].sort(([a, most], [b, least]) => least - most || (a < b ? -1 : 1))
   const [giver, most] = ranked[0] ?? ['', 0]
   const least = ranked.at(-1)?.[1] ?? 0
-  if (giver !== self || most - least < unevenBy) return undefined
-  const takers = ranked.filter(([, held]) => held === least).map(([entry]) => entry)
-  const engine = [...shares.holders].find(([id, holder]) => holder === self && mayGo(id))?.[0]
-  return engine === undefined ? undefined : { engine, to: rendezvousOrder(engine, takers)[0]! }
+  if (giver !== self || most - least < minImbalance) return undefined
+  const receivers = ranked.filter(([, held]) => held === least).map(([entry]) => entry)
+  const engine = [...assignment.holders].find(([id, holder]) => holder === self && mayMove(id))?.[0]
+  return engine === undefined ? undefined : { engine, to: rendezvousOrder(engine, receivers)[0]! }
 }
 
 /** Left over of a turn, for an order that was still on its way when its sender stopped ordering. */
-const turnMargin: Ms = 300
+const holderTurnMargin: Ms = 300
 
 /**
  * Engines that an entry has ordered and does not any more.
@@ -85,20 +85,20 @@
  * longer than most of a turn, and one that is killed finds its own keys.
  */
 export class ReclaimCooldown {
-  private readonly _leftAt = new Map<string, Ms>()
+  private readonly _releasedAt = new Map<string, Ms>()
 
-  /** @param _turn - ms within which two holders must not take turns */
-  constructor (private readonly _turn: Ms) {}
+  /** @param _holderTurn - ms within which two holders must not take turns */
+  constructor (private readonly _holderTurn: Ms) {}
 
   /** Notes that an engine is ordered no more by this entry. */
-  left (engine: string, now: Ms): void { this._leftAt.set(engine, now) }
+  left (engine: string, now: Ms): void { this._releasedAt.set(engine, now) }
 
   /** Whether an engine that another may have ordered since can be claimed. */
   mayReclaim (engine: string, now: Ms): boolean {
-    const leftAt = this._leftAt.get(engine)
-    if (leftAt === undefined) return true
-    if (now - leftAt < this._turn + turnMargin) return false
-    this._leftAt.delete(engine)
+    const releasedAt = this._releasedAt.get(engine)
+    if (releasedAt === undefined) return true
+    if (now - releasedAt < this._holderTurn + holderTurnMargin) return false
+    this._releasedAt.delete(engine)
     return true
   }
 }
--- a/packages/decisions/src/lib/identify-caller.ts
+++ b/packages/decisions/src/lib/identify-caller.ts
@@ -15,7 +15,7 @@
   | { readonly kind: 'organisation', readonly organisation: Organisation }
   | { readonly kind: 'unauthorised', readonly cause: UnauthorisedCause }
 
-function ofKey (table: RouteTable, credential: Credential): CallerIdentity {
+function identifyByKey (table: RouteTable, credential: Credential): CallerIdentity {
   switch (credential.kind) {
     case 'absent': return { kind: 'unauthorised', cause: 'no-key' }
     case 'unreadable': return { kind: 'unauthorised', cause: 'unreadable-credential' }
@@ -39,6 +39,6 @@
  */
 export function identifyCaller (table: RouteTable, route: Route, credential: Credential): CallerIdentity {
   if (table.config.access.kind === 'anyone') return { kind: 'anyone' }
-  const identity = ofKey(table, credential)
+  const identity = identifyByKey(table, credential)
   return identity.kind === 'unauthorised' && route.public ? { kind: 'anyone' } : identity
 }
--- a/packages/decisions/src/lib/load-throttle.ts
+++ b/packages/decisions/src/lib/load-throttle.ts
@@ -8,10 +8,10 @@
  * that a further one only adds to everybody's wait. Two at a time cost no throughput.
  */
 const contendedFactor = 3
-const slowDown = 1.5
-const speedUp = 0.6
+const intervalGrowth = 1.5
+const intervalShrink = 0.6
 /** Old records fade, so that a store that became slower is not taken for a busy one for ever. */
-const bestDrift = 1.02
+const fastestLoadDrift = 1.02
 
 /**
  * Shortens the interval while loads are fast and lengthens it, up to the safe share,
@@ -22,7 +22,7 @@
  */
 export class LoadThrottle {
   private _interval: Ms
-  private _best: Ms = Infinity
+  private _fastestLoad: Ms = Infinity
   private _lastStart: Ms = -Infinity
 
   /** @param _share - interval that is safe if all sidecars load at the same rate, in ms */
@@ -41,10 +41,10 @@
    * @param loaded - false when the store refused or failed
    */
   ended (took: Ms, loaded: boolean): void {
-    if (loaded) this._best = Math.min(this._best * bestDrift, took)
-    const contended = !loaded || took > this._best * contendedFactor
+    if (loaded) this._fastestLoad = Math.min(this._fastestLoad * fastestLoadDrift, took)
+    const contended = !loaded || took > this._fastestLoad * contendedFactor
     this._interval = contended
-      ? Math.min(this._share, Math.max(this._interval, this._share / 4) * slowDown)
-      : this._interval * speedUp
+      ? Math.min(this._share, Math.max(this._interval, this._share / 4) * intervalGrowth)
+      : this._interval * intervalShrink
   }
 }
--- a/packages/decisions/src/lib/moving-average.ts
+++ b/packages/decisions/src/lib/moving-average.ts
@@ -3,7 +3,7 @@
  */
 export class MovingAverage {
   private _value: number
-  private _seen = false
+  private _hasSample = false
 
   /**
    * @param initial - value before the first sample
@@ -16,11 +16,11 @@
   get value (): number { return this._value }
 
   /** The average, or 0 before the first sample. */
-  get measured (): number { return this._seen ? this._value : 0 }
+  get measured (): number { return this._hasSample ? this._value : 0 }
 
   /** Takes a sample; the first replaces the initial value. */
   add (sample: number): void {
-    this._value = this._seen ? this._value + this._weight * (sample - this._value) : sample
-    this._seen = true
+    this._value = this._hasSample ? this._value + this._weight * (sample - this._value) : sample
+    this._hasSample = true
   }
 }
--- a/packages/decisions/src/lib/place-request.ts
+++ b/packages/decisions/src/lib/place-request.ts
@@ -40,18 +40,18 @@
 }
 
 /** A message to another zone and back, and the price of its bytes. */
-const otherZoneCost: Ms = 4
+const crossZoneCost: Ms = 4
 /** Wait for an adapter of which a copy is in the host's memory. */
-const recentLoadCost: Ms = 40
+const hostCopyLoadCost: Ms = 40
 /** Wait for an adapter that comes from the weight store. */
-const freshLoadCost: Ms = 250
+const storeLoadCost: Ms = 250
 /**
  * Weighs a copy away from home, beside the wait: a slot taken from another adapter, and a place that the other
  * entries don't look at first. Worth more than the fullest batch costs.
  */
-const strayCost: Ms = 280
+const extraCopyCost: Ms = 280
 /** A copy that is away from home already is used while it is there, but draws no lasting traffic. */
-const strayUseCost: Ms = 20
+const extraCopyUseCost: Ms = 20
 const unavailableCost: Ms = 1_500
 /** How much slower a full batch is than an empty one, to the caller who waits for its first event. */
 const fullBatchCost: Ms = 120
@@ -68,27 +68,27 @@
 
 function adapterCost ({ adapter, rank }: PlacementCandidate, { replicas }: PlacementContext): Ms {
   const atHome = rank < replicas
-  const stray = atHome ? 0 : strayUseCost
+  const awayFromHome = atHome ? 0 : extraCopyUseCost
   switch (adapter) {
-    case 'loaded': return stray
-    case 'recent': return recentLoadCost + stray
+    case 'loaded': return awayFromHome
+    case 'recent': return hostCopyLoadCost + awayFromHome
     case 'loadable':
-      if (!atHome) return freshLoadCost + strayCost
+      if (!atHome) return storeLoadCost + extraCopyCost
       // A further home of a hot adapter is worth its load, or it would never be used.
-      return replicas > 1 ? recentLoadCost : freshLoadCost
-    case 'unavailable': return unavailableCost + stray
+      return replicas > 1 ? hostCopyLoadCost : storeLoadCost
+    case 'unavailable': return unavailableCost + awayFromHome
     default: return assertNever(adapter)
   }
 }
 
 /** Wait for a place behind those who wait already: with streams of 2.5 s and 12 places, one is free each 208 ms. */
-function placeWait ({ running, slots }: PlacementCandidate, { serviceTime: stay }: PlacementContext): Ms {
+function batchSlotWait ({ running, slots }: PlacementCandidate, { serviceTime: stay }: PlacementContext): Ms {
   return Math.max(0, running + 1 - slots) * Math.max(queueCost, stay / slots)
 }
 
 function cost (candidate: PlacementCandidate, context: PlacementContext): Ms {
-  return adapterCost(candidate, context) + (candidate.sameZone ? 0 : otherZoneCost) + candidate.running / candidate.slots * fullBatchCost +
-    placeWait(candidate, context) + candidate.promptBacklog / promptTokensPerMs + candidate.failureShare * failureCost + candidate.latency
+  return adapterCost(candidate, context) + (candidate.sameZone ? 0 : crossZoneCost) + candidate.running / candidate.slots * fullBatchCost +
+    batchSlotWait(candidate, context) + candidate.promptBacklog / promptTokensPerMs + candidate.failureShare * failureCost + candidate.latency
 }
 
 /**
@@ -116,8 +116,8 @@
  * Times the mean slot's share of the requests that each of two homes must serve, at least. Below, the second one
  * takes a slot from adapters that are asked for more often than it is.
  */
-const slotWorth = 1
-const spread = 2
+const minSlotShareFactor = 1
+const homesPerShare = 2
 
 /**
  * Homes of an adapter.
@@ -131,7 +131,7 @@
  * @param slotsEach - adapters that one of them holds
  */
 export function replicasFor (share: number, upstreams: number, slotsEach: number): number {
-  const popular = Math.max(popularShare, 2 * slotWorth / (upstreams * slotsEach))
-  const wanted = Math.max(share >= popular ? 2 : 1, Math.ceil(share * upstreams * spread))
+  const popular = Math.max(popularShare, 2 * minSlotShareFactor / (upstreams * slotsEach))
+  const wanted = Math.max(share >= popular ? 2 : 1, Math.ceil(share * upstreams * homesPerShare))
   return Math.min(upstreams, wanted)
 }
--- a/packages/decisions/src/lib/prompt-throttle.ts
+++ b/packages/decisions/src/lib/prompt-throttle.ts
@@ -19,9 +19,9 @@
  * of eight tokens the streams that run there then wait for 240 ms; pauses of 300 ms are late. With 0.5
  * prompts waited 60 to 300 ms longer, and held their adapters' slots meanwhile, for no fewer pauses.
  */
-const gentleShare = 0.65
+const normalPromptShare = 0.65
 /** The part taken when prompts would be late otherwise: pauses come to 270 ms. */
-const fullShare = 0.75
+const maxPromptShare = 0.75
 /**
  * Prompt tokens that may be unread once a prompt is let in; a larger prompt waits until
  * nothing else is. Two prompts of usual size fit; with more, streams that run there pause for too long.
@@ -37,20 +37,20 @@
 /** Within reach of their due times, a request goes ahead of a less urgent one that is due this much sooner. */
 const urgencyLead: Ms = 200
 /** Bounds of the learned rate, as parts of the first guess. */
-const slowest = 0.5
-const fastest = 3
+const minSpeed = 0.5
+const maxSpeed = 3
 /**
  * A stream that paused too long slows the pacer by this part; one that did not speeds it up by less.
  * The two are in balance at three paused streams in a hundred.
  */
-const slowDown = 0.01
-const speedUp = 0.0003
+const slowDownShare = 0.01
+const speedUpShare = 0.0003
 /** A ticket that nobody has asked about for this long is forgotten. */
-const ticketLasts: Ms = 1_500
+const queuedPromptTtl: Ms = 1_500
 /** Time an engine takes from the last prompt token to the first event. */
 const firstEventTime: Ms = 60
 
-interface Waiting extends QueuedPrompt { askedAt: Ms }
+interface WaitingPrompt extends QueuedPrompt { askedAt: Ms }
 
 /**
  * Paces prompts.
@@ -66,14 +66,14 @@
  * all are late.
  */
 export class PromptThrottle {
-  private readonly _waiting = new Map<string, Waiting>()
+  private readonly _waiting = new Map<string, WaitingPrompt>()
   /** What was learned of the engine, as part of the first guess. */
   private _speed = 1
-  private _rate = promptTokensPerMs * gentleShare
+  private _rate = promptTokensPerMs * normalPromptShare
   private _unread = 0
-  private _at: Ms = 0
+  private _unreadSince: Ms = 0
   /** Whether somebody who waits can't be on time at the full rate. */
-  private _pressed = false
+  private _isSaturated = false
 
   /** Prompt tokens let in and not yet read, or waiting. */
   backlog (now: Ms): number {
@@ -85,16 +85,16 @@
   get waiting (): number { return this._waiting.size }
 
   /** Tokens let in a ms while nobody would be late for it. */
-  get rate (): number { return promptTokensPerMs * gentleShare * this._speed }
+  get rate (): number { return promptTokensPerMs * normalPromptShare * this._speed }
 
-  private get _fullRate (): number { return promptTokensPerMs * fullShare * this._speed }
+  private get _maxRate (): number { return promptTokensPerMs * maxPromptShare * this._speed }
 
-  private _unreadAt (now: Ms): number { return Math.max(0, this._unread - (now - this._at) * this._rate) }
+  private _unreadAt (now: Ms): number { return Math.max(0, this._unread - (now - this._unreadSince) * this._rate) }
 
   /** Puts a request into the line; its place is by its due time, however often it comes. */
-  enqueue (ticket: QueuedPrompt, now: Ms): void {
-    const earlier = this._waiting.get(ticket.id)
-    if (earlier === undefined) this._waiting.set(ticket.id, { ...ticket, askedAt: now })
+  enqueue (prompt: QueuedPrompt, now: Ms): void {
+    const earlier = this._waiting.get(prompt.id)
+    if (earlier === undefined) this._waiting.set(prompt.id, { ...prompt, askedAt: now })
     else earlier.askedAt = now
   }
 
@@ -108,17 +108,17 @@
    * Lets requests in.
    *
    * @param now - time
-   * @param places - requests that the engine can begin
+   * @param batchSlots - requests that the engine can begin
    * @returns their ids, in order
    */
-  admit (now: Ms, places = Infinity): readonly string[] {
-    this._forgetOld(now)
-    const line = this._inOrder(now)
-    this._pressed = line.some(ticket => this._isLate(ticket, now))
-    this._setRate(line, now)
+  admit (now: Ms, batchSlots = Infinity): readonly string[] {
+    this._dropAbandoned(now)
+    const queue = this._admissionOrder(now)
+    this._isSaturated = queue.some(ticket => this._isLate(ticket, now))
+    this._setRate(queue, now)
     const admitted: string[] = []
-    for (const { id, tokens } of line) {
-      if (admitted.length >= places || this._unread > unreadBefore(tokens)) break
+    for (const { id, tokens } of queue) {
+      if (admitted.length >= batchSlots || this._unread > maxUnreadBefore(tokens)) break
       this._waiting.delete(id)
       this._unread += tokens
       admitted.push(id)
@@ -128,51 +128,51 @@
 
   /** When the next request can be let in; undefined when none waits. */
   nextAdmissionAt (now: Ms): Ms | undefined {
-    const [next] = this._inOrder(now)
-    return next === undefined ? undefined : now + Math.max(0, this._unreadAt(now) - unreadBefore(next.tokens)) / this._rate
+    const [next] = this._admissionOrder(now)
+    return next === undefined ? undefined : now + Math.max(0, this._unreadAt(now) - maxUnreadBefore(next.tokens)) / this._rate
   }
 
-  private _forgetOld (now: Ms): void {
-    for (const { id, askedAt } of this._waiting.values()) if (now - askedAt > ticketLasts) this._waiting.delete(id)
+  private _dropAbandoned (now: Ms): void {
+    for (const { id, askedAt } of this._waiting.values()) if (now - askedAt > queuedPromptTtl) this._waiting.delete(id)
   }
 
-  private _inOrder (now: Ms): readonly Waiting[] {
+  private _admissionOrder (now: Ms): readonly WaitingPrompt[] {
     const byStart = [...this._waiting.values()].sort((a, b) => this._compareStarts(a, b, now))
-    if (this._neededRate(byStart, now) <= this._fullRate * feasibleShare) return byStart
+    if (this._neededRate(byStart, now) <= this._maxRate * feasibleShare) return byStart
     return byStart.sort((a, b) => this._compareUrgency(a, b, now))
   }
 
-  private _compareStarts (a: Waiting, b: Waiting, now: Ms): number {
-    return this._lateLast(a, b, now) || this._latestStart(a) - this._latestStart(b)
+  private _compareStarts (a: WaitingPrompt, b: WaitingPrompt, now: Ms): number {
+    return this._compareLateness(a, b, now) || this._latestStart(a) - this._latestStart(b)
   }
 
-  private _compareUrgency (a: Waiting, b: Waiting, now: Ms): number {
-    return a.urgency - b.urgency || this._lateLast(a, b, now) || a.dueAt - b.dueAt
+  private _compareUrgency (a: WaitingPrompt, b: WaitingPrompt, now: Ms): number {
+    return a.urgency - b.urgency || this._compareLateness(a, b, now) || a.dueAt - b.dueAt
   }
 
-  private _lateLast (a: Waiting, b: Waiting, now: Ms): number { return Number(this._isLate(a, now)) - Number(this._isLate(b, now)) }
+  private _compareLateness (a: WaitingPrompt, b: WaitingPrompt, now: Ms): number { return Number(this._isLate(a, now)) - Number(this._isLate(b, now)) }
 
-  private _latestStart ({ tokens, dueAt, urgency }: Waiting): Ms { return dueAt - tokens / this._fullRate + urgency * urgencyLead }
+  private _latestStart ({ tokens, dueAt, urgency }: WaitingPrompt): Ms { return dueAt - tokens / this._maxRate + urgency * urgencyLead }
 
-  private _isLate ({ tokens, dueAt }: Waiting, now: Ms): boolean { return now + tokens / this._fullRate + firstEventTime > dueAt }
+  private _isLate ({ tokens, dueAt }: WaitingPrompt, now: Ms): boolean { return now + tokens / this._maxRate + firstEventTime > dueAt }
 
   /** Tokens a ms at which all who can be on time are let in early enough. */
-  private _neededRate (line: readonly Waiting[], now: Ms): number {
+  private _neededRate (queue: readonly WaitingPrompt[], now: Ms): number {
     let ahead = this._unreadAt(now)
     let needed = 0
-    for (const ticket of line) {
-      if (this._isLate(ticket, now)) continue
-      const left = ticket.dueAt - now - firstEventTime - safetyMargin
+    for (const prompt of queue) {
+      if (this._isLate(prompt, now)) continue
+      const left = prompt.dueAt - now - firstEventTime - safetyMargin
       needed = Math.max(needed, left > 0 ? ahead / left : Infinity)
-      ahead += ticket.tokens
+      ahead += prompt.tokens
     }
     return needed
   }
 
-  private _setRate (line: readonly Waiting[], now: Ms): void {
+  private _setRate (queue: readonly WaitingPrompt[], now: Ms): void {
     this._unread = this._unreadAt(now)
-    this._at = now
-    this._rate = Math.min(this._fullRate, Math.max(this.rate, this._neededRate(line, now)))
+    this._unreadSince = now
+    this._rate = Math.min(this._maxRate, Math.max(this.rate, this._neededRate(queue, now)))
   }
 
   /**
@@ -185,11 +185,11 @@
    * @param paused - how many of them paused longer than is on time
    */
   adjustSpeed (streams: number, paused: number): void {
-    const change = (1 - slowDown) ** paused * (1 + speedUp) ** (streams - paused)
-    const limit = this._pressed ? fastest : Math.max(1, this._speed)
-    this._speed = Math.min(limit, Math.max(slowest, this._speed * change))
+    const change = (1 - slowDownShare) ** paused * (1 + speedUpShare) ** (streams - paused)
+    const limit = this._isSaturated ? maxSpeed : Math.max(1, this._speed)
+    this._speed = Math.min(limit, Math.max(minSpeed, this._speed * change))
   }
 }
 
 /** Tokens that may be unread when a prompt is let in. */
-function unreadBefore (tokens: number): number { return Math.max(0, unreadLimit - tokens) }
+function maxUnreadBefore (tokens: number): number { return Math.max(0, unreadLimit - tokens) }
--- a/packages/decisions/src/lib/relay-flow.ts
+++ b/packages/decisions/src/lib/relay-flow.ts
@@ -84,11 +84,11 @@
 }
 
 /** Connections that may fail before a request is refused; nothing was sent on them. */
-const maxUnreachable = 6
+const maxFailedConnections = 6
 /** Sends to the upstream that said its adapter isn't there yet: the load is a little late. */
-const maxSameUpstream = 3
+const maxAdapterMissingRetries = 3
 /** Pause before the same upstream is asked again; about a third of a reload from memory. */
-const adapterPause: Ms = 15
+const adapterRetryPause: Ms = 15
 
 type Effects = readonly RelayEffect[]
 
@@ -103,7 +103,7 @@
   /** The upstream that has the request now. */
   current: string | undefined
   /** An upstream that only lacked the adapter for a moment. */
-  again: string | undefined
+  retryUpstream: string | undefined
   /** Whether another upstream is looked for while the current one is silent. */
   stalled = false
   /** Whether an upstream may have worked on the request. */
@@ -138,10 +138,10 @@
 }
 
 /** What a message leads to; `over` when the last effect is final. */
-interface Turn { readonly effects: Effects, readonly over: boolean }
+interface Transition { readonly effects: Effects, readonly over: boolean }
 
-function goOn (effects: Effects): Turn { return { effects, over: false } }
-function end (effects: Effects): Turn { return { effects, over: true } }
+function continueWith (effects: Effects): Transition { return { effects, over: false } }
+function endWith (effects: Effects): Transition { return { effects, over: true } }
 
 /**
  * Looks for another upstream while the current one is silent.
@@ -149,88 +149,88 @@
  * A full engine lets streams stand still and goes on with them. Cut off at once, one that found no place elsewhere was lost:
  * its caller got half an answer and a closed connection, though the engine would have gone on.
  */
-function stalled (request: RelayRequest, progress: Progress): Turn {
-  if (progress.stalled || progress.current === undefined || !isIdempotent(request) || progress.tried.size >= request.maxAttempts) return goOn([])
+function handleStalled (request: RelayRequest, progress: Progress): Transition {
+  if (progress.stalled || progress.current === undefined || !isIdempotent(request) || progress.tried.size >= request.maxAttempts) return continueWith([])
   progress.stalled = true
-  return goOn([{ kind: 'place', avoid: progress.avoid }])
+  return continueWith([{ kind: 'place', avoid: progress.avoid }])
 }
 
 /** Leaves a silent upstream for one that can take the request now. */
-function move (upstream: string, progress: Progress, deps: RelayDeps): Turn {
+function moveTo (upstream: string, progress: Progress, deps: RelayDeps): Transition {
   progress.stalled = false
-  if (!deps.takeRepeat()) return goOn([])
+  if (!deps.takeRepeat()) return continueWith([])
   progress.mayHaveRun = true
   progress.tried.add(upstream)
   progress.sends++
   progress.current = upstream
-  return goOn([{ kind: 'abandon' }, { kind: 'send', upstream }])
+  return continueWith([{ kind: 'abandon' }, { kind: 'send', upstream }])
 }
 
 /** What is to be done next, where another upstream is being looked for already. */
-function withoutPlacing (next: Turn): Turn {
-  return next.over ? next : goOn(next.effects.filter(({ kind }) => kind !== 'place' && kind !== 'wait'))
+function dropPlacing (next: Transition): Transition {
+  return next.over ? next : continueWith(next.effects.filter(({ kind }) => kind !== 'place' && kind !== 'wait'))
 }
 
-function placed (upstream: string, request: RelayRequest, progress: Progress, deps: RelayDeps): Turn {
-  if (progress.stalled) return move(upstream, progress, deps)
+function handlePlaced (upstream: string, request: RelayRequest, progress: Progress, deps: RelayDeps): Transition {
+  if (progress.stalled) return moveTo(upstream, progress, deps)
   // What has begun to run is finished, also elsewhere.
-  if (progress.sends === 0 && !deps.isAllowed()) return end(giveUp(progress, 'key-withdrawn'))
+  if (progress.sends === 0 && !deps.isAllowed()) return endWith(giveUp(progress, 'key-withdrawn'))
   if (progress.sends > 0) {
-    if (!progress.tried.has(upstream) && progress.tried.size >= request.maxAttempts) return end(giveUp(progress, 'attempts-spent'))
-    if (!deps.takeRepeat()) return end(giveUp(progress, 'budget-spent'))
+    if (!progress.tried.has(upstream) && progress.tried.size >= request.maxAttempts) return endWith(giveUp(progress, 'attempts-spent'))
+    if (!deps.takeRepeat()) return endWith(giveUp(progress, 'budget-spent'))
   }
   progress.tried.add(upstream)
   progress.sends++
   progress.current = upstream
-  return goOn([{ kind: 'send', upstream }])
+  return continueWith([{ kind: 'send', upstream }])
 }
 
-function elsewhere (request: RelayRequest, progress: Progress, failure: RelayFailure): Turn {
-  if (progress.tried.size >= request.maxAttempts) return end(giveUp(progress, failure))
-  return goOn([{ kind: 'place', avoid: progress.avoid }])
+function placeElsewhere (request: RelayRequest, progress: Progress, failure: RelayFailure): Transition {
+  if (progress.tried.size >= request.maxAttempts) return endWith(giveUp(progress, failure))
+  return continueWith([{ kind: 'place', avoid: progress.avoid }])
 }
 
-function unreachable (upstream: string, progress: Progress): Turn {
+function handleUnreachable (upstream: string, progress: Progress): Transition {
   // Nothing arrived there: neither the attempts nor the order of upstreams is touched.
   progress.sends--
   progress.tried.delete(upstream)
   progress.unreachable.add(upstream)
-  if (progress.unreachable.size > maxUnreachable) return end(giveUp(progress, 'no-upstream'))
-  return goOn([{ kind: 'place', avoid: progress.avoid }])
+  if (progress.unreachable.size > maxFailedConnections) return endWith(giveUp(progress, 'no-upstream'))
+  return continueWith([{ kind: 'place', avoid: progress.avoid }])
 }
 
-function refused (upstream: string, refusal: UpstreamRefusal, request: RelayRequest, progress: Progress): Turn {
-  if (refusal === 'adapter-missing' && ++progress.missing <= maxSameUpstream) {
-    progress.again = upstream
-    return goOn([{ kind: 'wait', delay: adapterPause * progress.missing }])
+function handleRefused (upstream: string, refusal: UpstreamRefusal, request: RelayRequest, progress: Progress): Transition {
+  if (refusal === 'adapter-missing' && ++progress.missing <= maxAdapterMissingRetries) {
+    progress.retryUpstream = upstream
+    return continueWith([{ kind: 'wait', delay: adapterRetryPause * progress.missing }])
   }
-  return elsewhere(request, progress, 'refused')
+  return placeElsewhere(request, progress, 'refused')
 }
 
-function lost (request: RelayRequest, progress: Progress): Turn {
+function handleLost (request: RelayRequest, progress: Progress): Transition {
   progress.mayHaveRun = true
   // What has gone out of a plain answer can't be taken back, nor gone on with elsewhere.
-  if (!isIdempotent(request) || (progress.begun && request.kind !== 'stream')) return end(giveUp(progress, 'lost'))
-  const next = elsewhere(request, progress, 'attempts-spent')
-  return next.over ? next : goOn([{ kind: 'abandon' }, ...next.effects])
+  if (!isIdempotent(request) || (progress.begun && request.kind !== 'stream')) return endWith(giveUp(progress, 'lost'))
+  const next = placeElsewhere(request, progress, 'attempts-spent')
+  return next.over ? next : continueWith([{ kind: 'abandon' }, ...next.effects])
 }
 
-function whole (failed: boolean, request: RelayRequest, progress: Progress): Turn {
+function handleWhole (failed: boolean, request: RelayRequest, progress: Progress): Transition {
   // A stream that goes on elsewhere can meet an answer of another kind, such as that upstream's own error.
   // Part of the stream has gone out, so it can neither be delivered nor taken for the rest.
-  if (progress.begun) return lost(request, progress)
+  if (progress.begun) return handleLost(request, progress)
   const deliver: Effects = [{ kind: 'deliver' }, { kind: 'finish' }]
-  if (!failed || request.kind !== 'read-only' || progress.tried.size >= request.maxAttempts) return end(deliver)
+  if (!failed || request.kind !== 'read-only' || progress.tried.size >= request.maxAttempts) return endWith(deliver)
   progress.mayHaveRun = true
   progress.holdsError = true
-  return goOn([{ kind: 'hold' }, { kind: 'place', avoid: progress.avoid }])
+  return continueWith([{ kind: 'hold' }, { kind: 'place', avoid: progress.avoid }])
 }
 
-function interrupted (cause: 'timeout' | 'caller-gone', request: RelayRequest, progress: Progress): Turn {
+function handleInterrupted (cause: 'timeout' | 'caller-gone', request: RelayRequest, progress: Progress): Transition {
   const stop = abandon(request, progress)
-  if (cause === 'caller-gone') return end([...stop, { kind: 'forget' }])
+  if (cause === 'caller-gone') return endWith([...stop, { kind: 'forget' }])
   if (progress.current !== undefined) progress.mayHaveRun = true
-  return end([...stop, ...giveUp(progress, progress.mayHaveRun ? 'timeout-sent' : 'timeout-unsent')])
+  return endWith([...stop, ...giveUp(progress, progress.mayHaveRun ? 'timeout-sent' : 'timeout-unsent')])
 }
 
 /**
@@ -239,51 +239,51 @@
  * One that waits would end the upstream that it waits for; one that an upstream has may not have begun to run, and then its
  * upstream is spared. One that can't be repeated is left to its upstream: if that answers, the answer is worth having.
  */
-function held (request: RelayRequest, progress: Progress): Turn {
+function handleQuarantined (request: RelayRequest, progress: Progress): Transition {
   progress.held = true
-  if (progress.current !== undefined && request.kind === 'non-idempotent') return goOn([])
+  if (progress.current !== undefined && request.kind === 'non-idempotent') return continueWith([])
   if (progress.current !== undefined) progress.mayHaveRun = true
-  return end([...abandon(request, progress), ...giveUp(progress, 'quarantined')])
+  return endWith([...abandon(request, progress), ...giveUp(progress, 'quarantined')])
 }
 
-function turn (msg: RelayMessage, request: RelayRequest, progress: Progress, deps: RelayDeps): Turn {
+function handle (msg: RelayMessage, request: RelayRequest, progress: Progress, deps: RelayDeps): Transition {
   const { current } = progress
   switch (msg.kind) {
-    case 'placed': return placed(msg.upstream, request, progress, deps)
+    case 'placed': return handlePlaced(msg.upstream, request, progress, deps)
     case 'unplaced':
-      if (!progress.stalled) return end(giveUp(progress, msg.cause))
+      if (!progress.stalled) return endWith(giveUp(progress, msg.cause))
       progress.stalled = false
-      return goOn([])
-    case 'stalled': return stalled(request, progress)
+      return continueWith([])
+    case 'stalled': return handleStalled(request, progress)
     case 'moves-again':
       progress.stalled = false
-      return goOn([])
-    case 'waited': return goOn([{ kind: 'place', avoid: progress.avoid, ...(progress.again === undefined ? {} : { retryUpstream: progress.again }) }])
+      return continueWith([])
+    case 'waited': return continueWith([{ kind: 'place', avoid: progress.avoid, ...(progress.retryUpstream === undefined ? {} : { retryUpstream: progress.retryUpstream }) }])
     case 'timeout':
-    case 'caller-gone': return interrupted(msg.kind, request, progress)
-    case 'held': return held(request, progress)
+    case 'caller-gone': return handleInterrupted(msg.kind, request, progress)
+    case 'held': return handleQuarantined(request, progress)
     case 'streaming':
       progress.begun = true
-      return goOn([{ kind: 'deliver' }])
-    case 'stream-ended': return end([{ kind: 'finish' }])
+      return continueWith([{ kind: 'deliver' }])
+    case 'stream-ended': return endWith([{ kind: 'finish' }])
   }
   // The exchange is over; from here on the upstream has nothing of this request.
   const isPlacing = progress.stalled
   progress.stalled = false
   progress.current = undefined
-  progress.again = undefined
-  const next = ended(msg, current!, request, progress)
-  if (progress.held && !next.over) return end(giveUp(progress, 'quarantined'))
-  return isPlacing ? withoutPlacing(next) : next
+  progress.retryUpstream = undefined
+  const next = handleExchangeEnd(msg, current!, request, progress)
+  if (progress.held && !next.over) return endWith(giveUp(progress, 'quarantined'))
+  return isPlacing ? dropPlacing(next) : next
 }
 
 /** What the end of an exchange leads to. */
-function ended (msg: RelayMessage & { readonly kind: 'refused' | 'unreachable' | 'lost' | 'whole' }, upstream: string, request: RelayRequest, progress: Progress): Turn {
+function handleExchangeEnd (msg: RelayMessage & { readonly kind: 'refused' | 'unreachable' | 'lost' | 'whole' }, upstream: string, request: RelayRequest, progress: Progress): Transition {
   switch (msg.kind) {
-    case 'refused': return refused(upstream, msg.refusal, request, progress)
-    case 'unreachable': return unreachable(upstream, progress)
-    case 'lost': return lost(request, progress)
-    case 'whole': return whole(msg.failed, request, progress)
+    case 'refused': return handleRefused(upstream, msg.refusal, request, progress)
+    case 'unreachable': return handleUnreachable(upstream, progress)
+    case 'lost': return handleLost(request, progress)
+    case 'whole': return handleWhole(msg.failed, request, progress)
     default: return assertNever(msg)
   }
 }
@@ -306,7 +306,7 @@
   }
   let effects: Effects = [{ kind: 'place', avoid: progress.avoid }]
   for (;;) {
-    const next = turn(yield effects, request, progress, deps)
+    const next = handle(yield effects, request, progress, deps)
     if (next.over) {
       yield next.effects
       return
--- a/packages/decisions/src/lib/request-flow.ts
+++ b/packages/decisions/src/lib/request-flow.ts
@@ -66,9 +66,9 @@
 const maxAttempts = 4
 const backoff = { base: 20, cap: 500 }
 /** Bytes of an unstreamed answer held back, so that a broken one can be retried. */
-const holdLimit = 256 * 1024
+const maxBufferedBytes = 256 * 1024
 /** Chunks held back; it must stay under the credit, or the sidecar would wait for ever. */
-const holdChunks = 32
+const maxBufferedChunks = 32
 /** Pauses while every upstream is out of reach but one may come back. */
 const maxPauses = 20
 const reconnectPause: Ms = 100
@@ -76,10 +76,10 @@
 const deadlineRetryAfter: Ms = 500
 
 /** Refusals that say nothing of load: moving on from them costs no retry budget. */
-const freeMoves: ReadonlySet<FailureCode> = new Set(['leaving'])
+const unbudgetedRetries: ReadonlySet<FailureCode> = new Set(['leaving'])
 
 /** Collects an answer until it is certain that it will be whole. */
-class HeldAnswer {
+class BufferedAnswer {
   private _head: AnswerHead | undefined
   private _chunks: Uint8Array[] = []
   private _bytes = 0
@@ -89,20 +89,20 @@
 
   constructor (private readonly _streamed: boolean) {}
 
-  takeHead (head: AnswerHead): readonly FlowEffect[] {
+  addHead (head: AnswerHead): readonly FlowEffect[] {
     this._head = head
-    return this._streamed ? this.release() : []
+    return this._streamed ? this.flush() : []
   }
 
-  takeChunk (data: Uint8Array): readonly FlowEffect[] {
+  addChunk (data: Uint8Array): readonly FlowEffect[] {
     if (this.begun) return [{ kind: 'answer-chunk', data }]
     this._chunks.push(data)
     this._bytes += data.length
-    return this._bytes > holdLimit || this._chunks.length >= holdChunks ? this.release() : []
+    return this._bytes > maxBufferedBytes || this._chunks.length >= maxBufferedChunks ? this.flush() : []
   }
 
   /** Lets go of what is held. */
-  release (): readonly FlowEffect[] {
+  flush (): readonly FlowEffect[] {
     if (this.begun || this._head === undefined) return []
     this.begun = true
     const chunks = this._chunks.map((data): FlowEffect => ({ kind: 'answer-chunk', data }))
@@ -120,7 +120,7 @@
   | { readonly kind: 'done', readonly effects: readonly FlowEffect[] }
   | { readonly kind: 'failed', readonly failure: Failure }
 
-function finalFailure (answer: HeldAnswer, cause: Failure): readonly FlowEffect[] {
+function finalFailure (answer: BufferedAnswer, cause: Failure): readonly FlowEffect[] {
   return [{ kind: answer.begun ? 'break' : 'fail', failure: cause }]
 }
 
@@ -133,24 +133,24 @@
 }
 
 /** Waits for the sidecar's answer to a withdraw. */
-function * settleWithdraw (answer: HeldAnswer, worst: Verdict): Generator<readonly FlowEffect[], AttemptResult, FlowMessage> {
+function * settleWithdraw (answer: BufferedAnswer, worst: Verdict): Generator<readonly FlowEffect[], AttemptResult, FlowMessage> {
   let effects: readonly FlowEffect[] = [{ kind: 'withdraw', reason: 'deadline' }]
   for (;;) {
     const msg = yield effects
     effects = []
     switch (msg.kind) {
       case 'end':
-        if (msg.end.failure === undefined) return { kind: 'done', effects: [...answer.release(), { kind: 'answer-end' }] }
-        return { kind: 'done', effects: finalFailure(answer, soften(deadlineFailure(msg.end), worst)) }
+        if (msg.end.failure === undefined) return { kind: 'done', effects: [...answer.flush(), { kind: 'answer-end' }] }
+        return { kind: 'done', effects: finalFailure(answer, correctVerdict(deadlineFailure(msg.end), worst)) }
       case 'withdraw-timeout':
         return { kind: 'done', effects: finalFailure(answer, deadlineFailure(undefined)) }
       case 'caller-gone':
         return { kind: 'done', effects: [{ kind: 'forget' }] }
       case 'head':
-        effects = answer.takeHead(msg.head)
+        effects = answer.addHead(msg.head)
         break
       case 'chunk':
-        effects = answer.takeChunk(msg.data)
+        effects = answer.addChunk(msg.data)
         break
       case 'deadline':
       case 'waited':
@@ -161,21 +161,21 @@
 }
 
 /** One attempt, from its dispatch to its end; `worst` is the verdict of those before. */
-function * attempt (upstream: string, answer: HeldAnswer, worst: Verdict): Generator<readonly FlowEffect[], AttemptResult, FlowMessage> {
+function * attempt (upstream: string, answer: BufferedAnswer, worst: Verdict): Generator<readonly FlowEffect[], AttemptResult, FlowMessage> {
   let effects: readonly FlowEffect[] = [{ kind: 'send', upstream }]
   for (;;) {
     const msg = yield effects
     effects = []
     switch (msg.kind) {
       case 'head':
-        effects = answer.takeHead(msg.head)
+        effects = answer.addHead(msg.head)
         break
       case 'chunk':
-        effects = answer.takeChunk(msg.data)
+        effects = answer.addChunk(msg.data)
         break
       case 'end':
         if (msg.end.failure !== undefined) return { kind: 'failed', failure: msg.end.failure }
-        return { kind: 'done', effects: [...answer.release(), { kind: 'answer-end' }] }
+        return { kind: 'done', effects: [...answer.flush(), { kind: 'answer-end' }] }
       case 'deadline':
         return yield * settleWithdraw(answer, worst)
       case 'caller-gone':
@@ -214,27 +214,27 @@
  * @returns takes messages, yields effects; ends after the one final effect
  */
 export function * requestFlow (request: FlowRequest, deps: FlowDeps): Generator<readonly FlowEffect[], void, FlowMessage> {
-  const answer = new HeldAnswer(request.streamed)
+  const answer = new BufferedAnswer(request.streamed)
   const tried = new Set<string>()
   let last: Failure | undefined
   let worst: Verdict = 'not-run'
 
   for (let attempts = 1, pauses = 0; ; attempts++) {
-    const heldBack = deps.quarantineFailure()
-    if (heldBack !== undefined) {
-      yield finalFailure(answer, soften(heldBack, worst))
+    const quarantined = deps.quarantineFailure()
+    if (quarantined !== undefined) {
+      yield finalFailure(answer, correctVerdict(quarantined, worst))
       return
     }
     const upstream = deps.choose(tried)
     if (upstream === undefined) {
       if (!deps.mayComeBack() || ++pauses > maxPauses || deps.remaining() <= 0) {
-        yield finalFailure(answer, soften(last ?? noUpstream(), worst))
+        yield finalFailure(answer, correctVerdict(last ?? noUpstream(), worst))
         return
       }
       attempts--
       const outcome = yield * pause(Math.min(reconnectPause, deps.remaining()))
       if (outcome === 'go-on') continue
-      yield interrupted(outcome, answer, worst)
+      yield interruptedEffects(outcome, answer, worst)
       return
     }
     tried.add(upstream)
@@ -246,29 +246,29 @@
     last = result.failure
     if (last.verdict !== 'not-run') worst = last.verdict
     if (answer.begun || !mayRetry(last, attempts, request, deps)) {
-      yield finalFailure(answer, soften(last, worst))
+      yield finalFailure(answer, correctVerdict(last, worst))
       return
     }
     answer.reset()
-    const delay = freeMoves.has(last.code) ? 0 : fullJitter(attempts, backoff, deps.random)
+    const delay = unbudgetedRetries.has(last.code) ? 0 : fullJitter(attempts, backoff, deps.random)
     const outcome = yield * pause(Math.min(delay, deps.remaining()))
     if (outcome === 'go-on') continue
-    yield interrupted(outcome, answer, worst)
+    yield interruptedEffects(outcome, answer, worst)
     return
   }
 }
 
 /** Ends a request whose deadline or caller went while nothing was dispatched. */
-function interrupted (outcome: 'deadline' | 'caller-gone', answer: HeldAnswer, worst: Verdict): readonly FlowEffect[] {
+function interruptedEffects (outcome: 'deadline' | 'caller-gone', answer: BufferedAnswer, worst: Verdict): readonly FlowEffect[] {
   if (outcome === 'caller-gone') return [{ kind: 'forget' }]
-  return finalFailure(answer, soften(deadlineFailure({ verdict: 'not-run' }), worst))
+  return finalFailure(answer, correctVerdict(deadlineFailure({ verdict: 'not-run' }), worst))
 }
 
 function mayRetry (cause: Failure, attempts: number, request: FlowRequest, deps: FlowDeps): boolean {
   if (!mayResend(cause.verdict, request.idempotent)) return false
   if (cause.code === 'withdrawn' || cause.code === 'key-in-use' || cause.code === 'first-attempt-unknown') return false
   if (attempts >= maxAttempts || deps.remaining() <= 0) return false
-  return freeMoves.has(cause.code) || deps.takeRetry()
+  return unbudgetedRetries.has(cause.code) || deps.takeRetry()
 }
 
 /**
@@ -277,6 +277,6 @@
  * An idempotent request may end with an attempt that did not run after one that may
  * have. Telling the caller `not-run` from the last attempt alone would be untrue.
  */
-function soften (cause: Failure, worst: Verdict): Failure {
+function correctVerdict (cause: Failure, worst: Verdict): Failure {
   return cause.verdict === 'not-run' && worst !== 'not-run' ? { ...cause, verdict: 'may-have-run' } : cause
 }
--- a/packages/decisions/src/lib/request-quarantine.ts
+++ b/packages/decisions/src/lib/request-quarantine.ts
@@ -21,31 +21,31 @@
  * Ends of one upstream closer to each other than this are one: several entries tell of it, each as it saw it. A process that
  * ended takes longer than this to be back.
  */
-const sameEndWithin: Ms = 1_000
+const sameTerminationWithin: Ms = 1_000
 /**
  * Bounds of memory, some 200 bytes each: a hundred upstreams that end with thirty requests each, and the requests that one entry
  * answers in the minute before.
  */
-const suspectsKept = 3_000
-const answeredKept = 1_000
-const heldKept = 1_000
+const maxTerminationRecords = 3_000
+const maxAnsweredRecords = 1_000
+const maxQuarantined = 1_000
 
 /**
  * Ms that a request may have been answered at an upstream to be suspect when that ends. A request that ends its upstream does so as
  * it begins to run: 22 to 273 ms after it was sent there and before its first event, at ten ends in logs of five entries.
  * Some margin is for slow upstreams. Streams last seconds: of 173 answers lost at those ends some 64 were no suspects by this.
  */
-const suspectFor: Ms = 1_000
+const maxAnsweredBeforeTermination: Ms = 1_000
 
 /**
  * Whether a request may have ended its upstream.
  *
  * @param answeredFor - ms from the first to the last data that came of it there; 0 when none did
  */
-export function mayHaveCausedTermination (answeredFor: Ms): boolean { return answeredFor <= suspectFor }
+export function mayHaveCausedTermination (answeredFor: Ms): boolean { return answeredFor <= maxAnsweredBeforeTermination }
 
 /** Forgets the oldest entries of a map beyond a bound. */
-function bound (map: Map<string, unknown>, most: number): void {
+function evictOldest (map: Map<string, unknown>, most: number): void {
   for (const oldest of map.keys()) {
     if (map.size <= most) return
     map.delete(oldest)
@@ -63,9 +63,9 @@
  * Requests are named by what they ask, since each attempt has an id of its own.
  */
 export class RequestQuarantine {
-  private readonly _ends = new Map<string, readonly UpstreamTermination[]>()
+  private readonly _terminations = new Map<string, readonly UpstreamTermination[]>()
   /** Requests held back, and until when; kept for one more hold time, in which they are on probation. */
-  private readonly _heldUntil = new Map<string, Ms>()
+  private readonly _quarantinedUntil = new Map<string, Ms>()
   /** Requests answered whole, and when. */
   private readonly _answered = new Map<string, Ms>()
 
@@ -85,33 +85,33 @@
    *
    * @returns whether so many upstreams have ended under the request that it should be held back, and is not yet
    */
-  recordTermination (request: string, end: UpstreamTermination, now: Ms): boolean {
-    if (this._isHeld(request, now) || this.wasAnsweredRecently(request, now)) return false
-    const heldUntil = this._probationSince(request, now)
+  recordTermination (request: string, termination: UpstreamTermination, now: Ms): boolean {
+    if (this._isQuarantined(request, now) || this.wasAnsweredRecently(request, now)) return false
+    const quarantinedUntil = this._probationSince(request, now)
     // Word of what led to the hold may still come after it.
-    if (end.at < heldUntil) return false
-    const known = (this._ends.get(request) ?? []).filter(({ at }) => this._isWithin(at, now) && at >= heldUntil)
-    const isKnown = known.some(({ upstream, at }) => upstream === end.upstream && Math.abs(at - end.at) < sameEndWithin)
-    const ends = isKnown ? known : [...known, end]
-    this._ends.delete(request)
-    this._ends.set(request, ends)
-    bound(this._ends, suspectsKept)
-    return ends.length >= (heldUntil === -Infinity ? this._limits.after : 1)
+    if (termination.at < quarantinedUntil) return false
+    const known = (this._terminations.get(request) ?? []).filter(({ at }) => this._isWithin(at, now) && at >= quarantinedUntil)
+    const isKnown = known.some(({ upstream, at }) => upstream === termination.upstream && Math.abs(at - termination.at) < sameTerminationWithin)
+    const terminations = isKnown ? known : [...known, termination]
+    this._terminations.delete(request)
+    this._terminations.set(request, terminations)
+    evictOldest(this._terminations, maxTerminationRecords)
+    return terminations.length >= (quarantinedUntil === -Infinity ? this._limits.after : 1)
   }
 
   /** Upstreams that ended under a request. */
-  terminatedUpstreams (request: string): readonly string[] { return (this._ends.get(request) ?? []).map(({ upstream }) => upstream) }
+  terminatedUpstreams (request: string): readonly string[] { return (this._terminations.get(request) ?? []).map(({ upstream }) => upstream) }
 
   /** Whether a request was answered whole within the hold time. */
   wasAnsweredRecently (request: string, now: Ms): boolean { return this._isWithin(this._answered.get(request), now) }
 
   /** Notes that a request was answered whole. */
   recordAnswered (request: string, now: Ms): void {
-    this._ends.delete(request)
-    this._heldUntil.delete(request)
+    this._terminations.delete(request)
+    this._quarantinedUntil.delete(request)
     this._answered.delete(request)
     this._answered.set(request, now)
-    bound(this._answered, answeredKept)
+    evictOldest(this._answered, maxAnsweredRecords)
   }
 
   /**
@@ -120,10 +120,10 @@
    * @returns whether it is held and was not before
    */
   hold (request: string, now: Ms): boolean {
-    if (this._isHeld(request, now) || this.wasAnsweredRecently(request, now)) return false
-    this._heldUntil.delete(request)
-    this._heldUntil.set(request, now + this._limits.holdTime)
-    bound(this._heldUntil, heldKept)
+    if (this._isQuarantined(request, now) || this.wasAnsweredRecently(request, now)) return false
+    this._quarantinedUntil.delete(request)
+    this._quarantinedUntil.set(request, now + this._limits.holdTime)
+    evictOldest(this._quarantinedUntil, maxQuarantined)
     return true
   }
 
@@ -132,18 +132,18 @@
    *
    * Asking for it does not prolong that: a sound request that many callers send, blamed by chance, would be refused for ever.
    */
-  holds (request: string, now: Ms): boolean { return this._isHeld(request, now) }
+  holds (request: string, now: Ms): boolean { return this._isQuarantined(request, now) }
 
   /** Requests held back, with the time until which they are. */
   held (now: Ms): ReadonlyMap<string, Ms> {
-    return new Map([...this._heldUntil].filter(([, until]) => until > now))
+    return new Map([...this._quarantinedUntil].filter(([, until]) => until > now))
   }
 
-  private _isHeld (request: string, now: Ms): boolean { return (this._heldUntil.get(request) ?? -Infinity) > now }
+  private _isQuarantined (request: string, now: Ms): boolean { return (this._quarantinedUntil.get(request) ?? -Infinity) > now }
 
   /** When the hold of a request on probation ended; -Infinity for one that is not. */
   private _probationSince (request: string, now: Ms): Ms {
-    const until = this._heldUntil.get(request)
+    const until = this._quarantinedUntil.get(request)
     return until !== undefined && this._isWithin(until, now) ? until : -Infinity
   }
 
--- a/packages/decisions/src/lib/sequencer.ts
+++ b/packages/decisions/src/lib/sequencer.ts
@@ -40,12 +40,12 @@
       this._held.set(index, item)
       return 'held'
     }
-    this._pass(item)
+    this._deliverNext(item)
     this._drain()
     return 'delivered'
   }
 
-  private _pass (item: T): void {
+  private _deliverNext (item: T): void {
     this._next++
     this._deliver(item)
   }
@@ -54,7 +54,7 @@
     if (this._held.size === 0) return
     for (let item = this._held.get(this._next); item !== undefined; item = this._held.get(this._next)) {
       this._held.delete(this._next)
-      this._pass(item)
+      this._deliverNext(item)
     }
   }
 }
--- a/packages/decisions/src/lib/store-role.ts
+++ b/packages/decisions/src/lib/store-role.ts
@@ -23,12 +23,12 @@
  */
 const allWatchUpTo = 8
 /** Entries of one availability zone for each of its watchers: with 68 entries in six zones each has two. */
-const entriesEach = 8
+const entriesPerWatcher = 8
 /** Makes the watchers of a zone others than the first in any other order of the same nodes. */
 const electionKey = 'store-watch'
 
 function watchersOf (nodes: readonly string[]): readonly string[] {
-  return rendezvousOrder(electionKey, nodes).slice(0, Math.ceil(nodes.length / entriesEach))
+  return rendezvousOrder(electionKey, nodes).slice(0, Math.ceil(nodes.length / entriesPerWatcher))
 }
 
 function byZone (entries: readonly ListedEntry[]): ReadonlyMap<string, readonly string[]> {
@@ -50,10 +50,10 @@
 export function storeRole (self: string, entries: readonly ListedEntry[]): StoreRole {
   const own = entries.find(({ node }) => node === self)
   if (own === undefined || entries.length <= allWatchUpTo) return { kind: 'watch', watchers: Math.max(1, entries.length), hasFollowers: false }
-  const near: string[] = []
-  const far: string[] = []
-  for (const [zone, nodes] of byZone(entries)) (zone === (own.zone ?? '') ? near : far).push(...watchersOf(nodes))
-  if (near.includes(self)) return { kind: 'watch', watchers: near.length + far.length, hasFollowers: true }
+  const sameZone: string[] = []
+  const otherZones: string[] = []
+  for (const [zone, nodes] of byZone(entries)) (zone === (own.zone ?? '') ? sameZone : otherZones).push(...watchersOf(nodes))
+  if (sameZone.includes(self)) return { kind: 'watch', watchers: sameZone.length + otherZones.length, hasFollowers: true }
   // Followers of one zone spread over its watchers; one of another zone is the last resort.
-  return { kind: 'follow', watchersToAsk: [...rendezvousOrder(self, near), ...rendezvousOrder(self, far)] }
+  return { kind: 'follow', watchersToAsk: [...rendezvousOrder(self, sameZone), ...rendezvousOrder(self, otherZones)] }
 }
--- a/packages/decisions/src/lib/upstream-health.ts
+++ b/packages/decisions/src/lib/upstream-health.ts
@@ -24,8 +24,8 @@
  * Applications answer a few requests in a hundred with errors of their own; one that
  * fails a third of them is ill.
  */
-const illShare = 0.3
-const illSamples = 8
+const ejectShare = 0.3
+const minSamples = 8
 /** Weight of one outcome in the share of failures: about the last ten count. */
 const shareWeight = 0.1
 
@@ -34,7 +34,7 @@
   private readonly _failureShare = new MovingAverage(0, shareWeight)
   private readonly _latency = new MovingAverage(0, 0.1)
   private _samples = 0
-  private _inRow = 0
+  private _failuresInRow = 0
   private _ejections = 0
   private _ejectedUntil: Ms = -Infinity
 
@@ -60,18 +60,18 @@
     this._samples++
     this._failureShare.add(failed ? 1 : 0)
     // An error is an answer: the upstream lives, and only a high share of errors counts.
-    this._inRow = outcome === 'unreachable' || outcome === 'lost' ? this._inRow + 1 : 0
-    if (outcome === 'answered' && this._failureShare.measured < illShare / 2) this._ejections = 0
-    const ill = this._samples >= illSamples && this._failureShare.measured > illShare && failed
-    if (outcome !== 'unreachable' && this._inRow < ejectAfter && !ill) return false
+    this._failuresInRow = outcome === 'unreachable' || outcome === 'lost' ? this._failuresInRow + 1 : 0
+    if (outcome === 'answered' && this._failureShare.measured < ejectShare / 2) this._ejections = 0
+    const isFailing = this._samples >= minSamples && this._failureShare.measured > ejectShare && failed
+    if (outcome !== 'unreachable' && this._failuresInRow < ejectAfter && !isFailing) return false
     this._eject(now)
     return true
   }
 
   private _eject (now: Ms): void {
-    const wasOut = now < this._ejectedUntil
-    if (!wasOut) this._ejections++
+    const wasEjected = now < this._ejectedUntil
+    if (!wasEjected) this._ejections++
     this._ejectedUntil = now + Math.min(ejectCap, ejectBase * 2 ** (this._ejections - 1))
-    this._inRow = 0
+    this._failuresInRow = 0
   }
 }
--- a/packages/decisions/src/lib/upstream-notices.ts
+++ b/packages/decisions/src/lib/upstream-notices.ts
@@ -24,7 +24,7 @@
 export class UpstreamNotices {
   private _limit: LimitNotice = { rate: undefined, at: -Infinity, everNamed: false }
   private _leaving = false
-  private _restsUntil: Ms = -Infinity
+  private _backoffUntil: Ms = -Infinity
 
   /** The latest word on its limit. */
   get limit (): LimitNotice { return this._limit }
@@ -33,7 +33,7 @@
   get leaving (): boolean { return this._leaving }
 
   /** Until when it wants nothing from this entry. */
-  get backoffUntil (): Ms { return this._restsUntil }
+  get backoffUntil (): Ms { return this._backoffUntil }
 
   /**
    * Takes the notice of an answer.
@@ -49,8 +49,8 @@
     const limit = this.recordLimit({ rate: rateLimit, at: rateLimit === undefined ? sentAt : now })
     if (limit !== undefined) changes.push(limit)
     if (leaving && this.recordLeaving()) changes.push({ kind: 'leaving' })
-    if (rest !== undefined && now + rest > this._restsUntil) {
-      this._restsUntil = now + rest
+    if (rest !== undefined && now + rest > this._backoffUntil) {
+      this._backoffUntil = now + rest
       changes.push({ kind: 'rest', lasts: rest })
     }
     return changes
@@ -58,9 +58,9 @@
 
   /** @returns whether that is news */
   recordLeaving (): boolean {
-    const isNews = !this._leaving
+    const isNew = !this._leaving
     this._leaving = true
-    return isNews
+    return isNew
   }
 
   /**
--- a/packages/decisions/src/lib/upstream-plan.ts
+++ b/packages/decisions/src/lib/upstream-plan.ts
@@ -18,7 +18,7 @@
 const picksPerOldest = 4
 
 /** How long a request of each rank waits for a pinned slot before one is closed for it. */
-const closeAfter: readonly Ms[] = [250, 1_000, 3_000]
+const closeSlotAfter: readonly Ms[] = [250, 1_000, 3_000]
 
 interface LoadFailures { readonly count: number, readonly retryAt: Ms }
 
@@ -40,9 +40,9 @@
   private readonly _serviceMs = new MovingAverage(initialServiceMs)
   private _effects: PlanEffect[] = []
   private _leaving = false
-  private _permitWanted = false
-  private _wantedRank = 0
-  private _picks = 0
+  private _permitRequested = false
+  private _requestedRank = 0
+  private _startCount = 0
   private _hasPermit = false
   private _wakeAt = Infinity
 
@@ -163,7 +163,7 @@
   }
 
   private _takePermit (): void {
-    this._permitWanted = false
+    this._permitRequested = false
     this._hasPermit = true
   }
 
@@ -225,10 +225,10 @@
   private _startReady (now: Ms): void {
     while (this._running.size < this._limits.places) {
       const isReady = (adapter: AdapterKey | undefined): boolean => adapter === undefined || this._slots.isReady(adapter)
-      const order = this._picks % picksPerOldest === picksPerOldest - 1 ? compareAge : compareUrgency
+      const order = this._startCount % picksPerOldest === picksPerOldest - 1 ? compareAge : compareUrgency
       const next = this._waiting.first(order, isReady)
       if (next === undefined || this._lingers(next, now)) return
-      this._picks++
+      this._startCount++
       this._waiting.remove(next.id)
       const slot = next.adapter === undefined ? undefined : this._slots.pin(next.adapter, now)
       this._running.set(next.id, { request: next, since: now, slot })
@@ -270,9 +270,9 @@
     // A receipt that comes while a draft's permit is awaited must not wait in the
     // draft's place: the wish is renewed with its rank.
     const rank = classRank(next.trafficClass)
-    if (this._permitWanted && rank >= this._wantedRank) return
-    this._permitWanted = true
-    this._wantedRank = rank
+    if (this._permitRequested && rank >= this._requestedRank) return
+    this._permitRequested = true
+    this._requestedRank = rank
     this._effects.push({ kind: 'want-permit', rank })
   }
 
@@ -297,7 +297,7 @@
     if (this._slots.size < this._limits.slots) return true
     const busy = this._slots.all().some(slot => slot.state === 'unloading' || slot.state === 'unknown')
     if (busy) return false
-    const victim = this._slots.victim(slot => this._worth(slot, now))
+    const victim = this._slots.victim(slot => this._retentionValue(slot, now))
     if (victim === undefined || this._isAwaited(victim)) {
       this._closeSlotFor(next, now)
       return false
@@ -312,7 +312,7 @@
     return !slot.closing && this._waiting.of(slot.adapter).length > 0
   }
 
-  private _worth (slot: Slot, now: Ms): number {
+  private _retentionValue (slot: Slot, now: Ms): number {
     if (slot.closing) return -1
     const awaited = this._isAwaited(slot) ? 1e6 : 0
     return awaited + this._popularity.read(slot.adapter, now) + slot.lastUsed / 1e12
@@ -325,8 +325,8 @@
    * another adapter would wait until its deadline while every slot stays in use.
    */
   private _closeSlotFor (next: PlanRequest, now: Ms): void {
-    const patience = closeAfter[classRank(next.trafficClass)]!
-    if (now - next.arrivedAt < patience) return
+    const longestWait = closeSlotAfter[classRank(next.trafficClass)]!
+    if (now - next.arrivedAt < longestWait) return
     const open = this._slots.all().filter(slot => slot.state === 'loaded')
     if (open.some(slot => slot.closing)) return
     const least = open.sort((a, b) => this._popularity.read(a.adapter, now) - this._popularity.read(b.adapter, now))[0]
@@ -342,7 +342,7 @@
     let next = Infinity
     for (const request of this._waiting.all()) {
       next = Math.min(next, request.deadlineAt)
-      for (const at of [request.arrivedAt + this._limits.draftLinger, request.arrivedAt + closeAfter[classRank(request.trafficClass)]!]) {
+      for (const at of [request.arrivedAt + this._limits.draftLinger, request.arrivedAt + closeSlotAfter[classRank(request.trafficClass)]!]) {
         if (at > now) next = Math.min(next, at)
       }
     }
--- a/packages/decisions/src/lib/upstream-view.ts
+++ b/packages/decisions/src/lib/upstream-view.ts
@@ -19,7 +19,7 @@
 /** How long an upstream is ramped up after a cold start. */
 const slowStartMs: Ms = 5_000
 /** Most channels that break are back within this time. */
-const comeBackMs: Ms = 2_000
+const reconnectWindowMs: Ms = 2_000
 const ejectAfterFailures = 5
 const ejectMs: Ms = 3_000
 
@@ -68,7 +68,7 @@
 
   /** Whether it fell silent so recently that a reconnect is likely. */
   mayComeBack (now: Ms): boolean {
-    return this._state === 'suspect' && !this.barred && now - this._suspectSince < comeBackMs
+    return this._state === 'suspect' && !this.barred && now - this._suspectSince < reconnectWindowMs
   }
 
   /**
--- a/packages/decisions/src/lib/usage-allocator.ts
+++ b/packages/decisions/src/lib/usage-allocator.ts
@@ -62,26 +62,26 @@
  */
 export const reportTtl: Ms = 1_500
 /** Longest time that one report covers: after a long silence nobody has used what would have come meanwhile. */
-const longestCover: Ms = 1_000
+const maxCoveredTime: Ms = 1_000
 /** Parts of the allowed overage and slack that may be used at once; what is left of them is for what two keepers lend at one moment. */
 const overageAtOnce = 0.45
 const slackAtOnce = 0.7
 /** Part of the overage that is spread over the window: an account that floods then uses all of its limit, not a little less. */
 const overageSpread = 0.25
 /** Part of a limit's burst that can be used at once, at least. */
-const leastBurst = 0.5
+const minBurstShare = 0.5
 /** Age up to which an entry's word tells how much waits until each has asked again. */
-const recentWaits: Ms = 500
+const waitingReportTtl: Ms = 500
 /** Part of a bucket that is lent to requests that wait only: ahead of need, it would lie unused at some entries while others refuse. */
 const reservedShare = 0.5
 /** Above an equal part, so that a bucket that refills is not left half full. */
-const shareOfLevel = 1.5
+const levelShareFactor = 1.5
 
-interface Word { readonly holding: number, readonly waiting: number, readonly at: Ms }
+interface EntryReport { readonly holding: number, readonly waiting: number, readonly at: Ms }
 
 /** Credit of one account. */
 class Bucket {
-  private readonly _words = new Map<string, Word>()
+  private readonly _reports = new Map<string, EntryReport>()
   private _level = 0
   private _cap = 0
   /** Time by which it was refilled last, see {@link UsageAllocator}. */
@@ -103,30 +103,30 @@
 
   private _outstanding (now: Ms): number {
     let sum = 0
-    for (const [entry, { holding, at }] of this._words) {
+    for (const [entry, { holding, at }] of this._reports) {
       if (now - at < reportTtl) sum += holding
-      else this._words.delete(entry)
+      else this._reports.delete(entry)
     }
     return sum
   }
 
   private _waiting (now: Ms): number {
     let sum = 0
-    for (const { waiting, at } of this._words.values()) if (now - at < recentWaits) sum += waiting
+    for (const { waiting, at } of this._reports.values()) if (now - at < waitingReportTtl) sum += waiting
     return sum
   }
 
   /** Lends what waits first, then what is wanted ahead. */
-  lend (entry: string, row: UsageRow, rate: number, now: Ms): Omit<UsageGrant, 'account'> {
+  grant (entry: string, row: UsageRow, rate: number, now: Ms): Omit<UsageGrant, 'account'> {
     const { holding, waiting, ahead, returned } = row
     this._level += returned
-    this._words.set(entry, { holding, waiting, at: now })
+    this._reports.set(entry, { holding, waiting, at: now })
     const forWaiting = this._forWaiting(row, now)
     this._level -= forWaiting
     const forAhead = Math.floor(Math.min(ahead, Math.max(0, this._level - this._cap * reservedShare) / 2))
     this._level -= forAhead
     const granted = forWaiting + forAhead
-    this._words.set(entry, { holding: holding + granted, waiting: waiting - forWaiting, at: now })
+    this._reports.set(entry, { holding: holding + granted, waiting: waiting - forWaiting, at: now })
     const wait = forWaiting >= waiting ? 0 : Math.max(1, (this._waiting(now) - this._level) / rate * 1_000)
     return { granted, wait }
   }
@@ -140,7 +140,7 @@
     if (this._level >= all) return waiting
     if (first > this._level) return 0
     // Parts of a unit would lie unused at each entry, and what entries hold takes room in the bucket.
-    return Math.floor(Math.min(waiting, this._level, Math.max(first, shareOfLevel * this._level * waiting / all)))
+    return Math.floor(Math.min(waiting, this._level, Math.max(first, levelShareFactor * this._level * waiting / all)))
   }
 }
 
@@ -151,10 +151,10 @@
  * who asks for a little more than the rate all the time is refused though the window's sum allows it. So it is
  * spread over the window, as far as the allowed overage is large enough to stand for it.
  */
-function lending ({ rate, burst }: CreditLimit, { window, overage, slack }: UsageBounds): { readonly rate: number, readonly most: number } {
+function grantTerms ({ rate, burst }: CreditLimit, { window, overage, slack }: UsageBounds): { readonly rate: number, readonly most: number } {
   const over = overage * (rate * window / 1_000 + burst)
   const allowed = over * overageAtOnce + slack * slackAtOnce
-  const ofBurst = Math.max(0, burst * leastBurst - allowed)
+  const ofBurst = Math.max(0, burst * minBurstShare - allowed)
   return { rate: rate + (burst - ofBurst + over * overageSpread) / window * 1_000, most: ofBurst + allowed }
 }
 
@@ -169,24 +169,24 @@
  */
 export class UsageAllocator {
   /** When each entry was heard. */
-  private readonly _heard = new Map<string, Ms>()
+  private readonly _reportedAt = new Map<string, Ms>()
   private readonly _buckets = new Map<string, Bucket>()
   /** Time for which entries have brought their parts of all rates. */
   private _covered: Ms = 0
 
   /** Takes an entry's report and lends it what can be lent. */
   report ({ entry, covers, rows }: UsageReport, context: AllocatorContext): readonly UsageGrant[] {
-    this._hear(entry, context.now)
-    const entries = Math.max(1, context.entries, this._heard.size)
-    const share = this._heard.size / entries
-    this._covered += Math.min(covers, longestCover) / entries
+    this._recordReport(entry, context.now)
+    const entries = Math.max(1, context.entries, this._reportedAt.size)
+    const share = this._reportedAt.size / entries
+    this._covered += Math.min(covers, maxCoveredTime) / entries
     return rows.flatMap(row => {
       const limit = context.limitOf(row.account)
       if (limit === undefined) return []
       const bucket = this._bucket(row.account)
-      const { rate, most } = lending(limit, context.bounds)
+      const { rate, most } = grantTerms(limit, context.bounds)
       bucket.refill(rate, most * share, row.first, this._covered, context.now)
-      return [{ account: row.account, ...bucket.lend(entry, row, rate * share, context.now) }]
+      return [{ account: row.account, ...bucket.grant(entry, row, rate * share, context.now) }]
     })
   }
 
@@ -195,13 +195,13 @@
     for (const account of [...this._buckets.keys()]) if (isFree(account)) this._buckets.delete(account)
   }
 
-  private _hear (entry: string, now: Ms): void {
-    for (const [other, at] of this._heard) if (now - at >= reportTtl) this._heard.delete(other)
-    if (this._heard.size === 0) {
+  private _recordReport (entry: string, now: Ms): void {
+    for (const [other, at] of this._reportedAt) if (now - at >= reportTtl) this._reportedAt.delete(other)
+    if (this._reportedAt.size === 0) {
       this._buckets.clear()
       this._covered = 0
     }
-    this._heard.set(entry, now)
+    this._reportedAt.set(entry, now)
   }
 
   private _bucket (account: string): Bucket {
--- a/packages/decisions/src/lib/usage-pool.ts
+++ b/packages/decisions/src/lib/usage-pool.ts
@@ -16,7 +16,7 @@
   | { readonly kind: 'closed', readonly retryAfter: Ms }
 
 /** Time for which credit is wanted ahead of need. */
-const ahead: Ms = 700
+const aheadTime: Ms = 700
 /** Part of what is wanted ahead below which more is asked for. */
 const lowShare = 0.5
 /** Above what is wanted ahead by this factor, the rest is given back. */
@@ -26,42 +26,42 @@
  * Longest wait for which a request is held, not refused: a bucket that is empty for a moment only. A caller who is
  * refused comes back no sooner.
  */
-const usualHold: Ms = 150
+const maxCreditWait: Ms = 150
 /**
  * The same just after the start of a process. All entries may have started, and then all buckets are empty and all callers
  * come back together; what they ask for can be had within about a second.
  */
-const startHold: Ms = 800
-const startLasts: Ms = 3_000
+const maxCreditWaitAtStart: Ms = 800
+const startPeriod: Ms = 3_000
 /**
  * Shortest time for which a keeper's word counts that it has none. Asked by each request anew, the keeper of an
  * account that is far over its limit would get a message a request.
  */
-const wordAtLeast: Ms = 100
+const minExhaustedTime: Ms = 100
 /** What is lent lapses before its keeper stops counting it. */
-const creditLasts: Ms = reportTtl - 300
+const creditTtl: Ms = reportTtl - 300
 /** Key of the one counter: what is asked for here, granted or not. */
-const asked = 'asked'
+const demandKey = 'asked'
 
 /** One account's credit at one entry. */
 export class UsagePool {
   private _available = 0
   /** Of the last report that was answered, when it was sent. */
-  private _provedAt: Instant | undefined
+  private _confirmedAt: Instant | undefined
   /** Until when the keeper need not be asked, since it has none. */
-  private _noneUntil: Ms = -Infinity
+  private _exhaustedUntil: Ms = -Infinity
   /** When the keeper can lend to all who wait. */
-  private _lendsAt: Ms = -Infinity
+  private _creditExpectedAt: Ms = -Infinity
   private readonly _demand = new DecayedCounter(demandHalfLife, 1)
-  private _largest = 0
+  private _largestCost = 0
 
   /** @param _startedAt - of the process */
   constructor (private readonly _startedAt: Ms) {}
 
   /** Counts what a request asks for. */
   count (cost: number, now: Ms): void {
-    this._demand.add(asked, now, cost)
-    this._largest = Math.max(this._largest * 0.98, cost)
+    this._demand.add(demandKey, now, cost)
+    this._largestCost = Math.max(this._largestCost * 0.98, cost)
   }
 
   /** Takes a request's usage. */
@@ -75,28 +75,28 @@
 
   /** What the keeper's last word means for a request that can't be let in now. */
   expectedAvailability (now: Ms): SpendResult & { readonly kind: 'short' | 'held' | 'closed' } {
-    if (now >= this._noneUntil) return { kind: 'short' }
-    const wait = this._lendsAt - now
-    return wait <= this._longestHold(now) ? { kind: 'held', retryAfter: Math.max(0, wait) } : { kind: 'closed', retryAfter: wait }
+    if (now >= this._exhaustedUntil) return { kind: 'short' }
+    const wait = this._creditExpectedAt - now
+    return wait <= this._longestCreditWait(now) ? { kind: 'held', retryAfter: Math.max(0, wait) } : { kind: 'closed', retryAfter: wait }
   }
 
-  private _longestHold (now: Ms): Ms { return now - this._startedAt < startLasts ? startHold : usualHold }
+  private _longestCreditWait (now: Ms): Ms { return now - this._startedAt < startPeriod ? maxCreditWaitAtStart : maxCreditWait }
 
   /** Gives back what a request took that did not run. */
   refund (cost: number): void { this._available += cost }
 
   /** Credit that can be used; what was lent lapses, since its keeper forgets it. */
   available (at: Instant): number {
-    return this._provedAt !== undefined && elapsed(this._provedAt, at) < creditLasts ? this._available : 0
+    return this._confirmedAt !== undefined && elapsed(this._confirmedAt, at) < creditTtl ? this._available : 0
   }
 
   /** Whether more should be asked for ahead of need. */
-  isLow (at: Instant): boolean { return at.now >= this._noneUntil && this.available(at) < this._target(at.now) * lowShare }
+  isLow (at: Instant): boolean { return at.now >= this._exhaustedUntil && this.available(at) < this._target(at.now) * lowShare }
 
   /** Of an account with few requests here, none is expected soon; what was lent for them would lie unused. */
   private _target (now: Ms): number {
-    const expected = this._demand.read(asked, now) * Math.LN2 / demandHalfLife * ahead
-    return expected < this._largest ? 0 : expected
+    const expected = this._demand.read(demandKey, now) * Math.LN2 / demandHalfLife * aheadTime
+    return expected < this._largestCost ? 0 : expected
   }
 
   /**
@@ -127,8 +127,8 @@
   /** Takes the keeper's answer to a report that was sent at `sent`. */
   applyGrant ({ granted, wait }: UsageGrant, sent: Instant, at: Instant): void {
     this._available = this.available(at) + granted
-    this._provedAt = sent
-    this._lendsAt = at.now + wait
-    this._noneUntil = wait === 0 ? -Infinity : at.now + Math.max(wordAtLeast, Math.min(wait, usualHold))
+    this._confirmedAt = sent
+    this._creditExpectedAt = at.now + wait
+    this._exhaustedUntil = wait === 0 ? -Infinity : at.now + Math.max(minExhaustedTime, Math.min(wait, maxCreditWait))
   }
 }
--- a/packages/decisions/src/lib/view-age.ts
+++ b/packages/decisions/src/lib/view-age.ts
@@ -3,7 +3,7 @@
  */
 import { elapsed, type Instant, type Ms } from '@hazelford/core'
 
-interface Proof {
+interface Confirmation {
   /** Ms by which the view of whoever answered was behind when it was asked. */
   readonly age: Ms
   readonly asked: Instant
@@ -17,7 +17,7 @@
  * a peer tells counts from the question to the peer, less the age that the peer tells.
  */
 export class ViewAge {
-  private _proof: Proof | undefined
+  private _latest: Confirmation | undefined
 
   /**
    * Takes an answer that is in the view by now.
@@ -27,13 +27,13 @@
    * @param at - now
    */
   answered (asked: Instant, age: Ms, at: Instant): void {
-    const proof = { age, asked }
+    const confirmation = { age, asked }
     // Suspended between the question and now, this process can't tell how long ago the question was.
-    if (ageOf(proof, at) < this.at(at)) this._proof = proof
+    if (ageOf(confirmation, at) < this.at(at)) this._latest = confirmation
   }
 
   /** Ms since which the view may have missed something; infinite when nothing proves it. */
-  at (at: Instant): Ms { return this._proof === undefined ? Infinity : ageOf(this._proof, at) }
+  at (at: Instant): Ms { return this._latest === undefined ? Infinity : ageOf(this._latest, at) }
 }
 
-function ageOf ({ age, asked }: Proof, at: Instant): Ms { return age + elapsed(asked, at) }
+function ageOf ({ age, asked }: Confirmation, at: Instant): Ms { return age + elapsed(asked, at) }
--- a/packages/decisions/src/lib/wait-queue.ts
+++ b/packages/decisions/src/lib/wait-queue.ts
@@ -55,9 +55,9 @@
     if (request === undefined) return undefined
     this._byId.delete(id)
     const key = request.adapter ?? noAdapter
-    const rest = this._groups.get(key)!.filter(other => other.id !== id)
-    if (rest.length === 0) this._groups.delete(key)
-    else this._groups.set(key, rest)
+    const remaining = this._groups.get(key)!.filter(other => other.id !== id)
+    if (remaining.length === 0) this._groups.delete(key)
+    else this._groups.set(key, remaining)
     return request
   }
 
