--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Routing, slots, loads, retries and admission as pure generators and reducers.
+ * Routing, adapter slots, loads, retries and admission as pure generators and reducers.
  *
  * @packageDocumentation
  */
--- a/packages/decisions/src/lib/adapter-demand.ts
+++ b/packages/decisions/src/lib/adapter-demand.ts
@@ -1,46 +1,46 @@
 /**
- * What is asked of one engine, and what is loaded first.
+ * Demand for the adapters of one engine, and the order in which they are loaded.
  */
 import type { Ms } from '@hazelford/core'
 import { DecayedCounter } from './decayed-counter.js'
 
-/** A model, or an adapter of it, in a version if one is declared. */
+/** A model, or an adapter of a model. `version` is set if a version is declared. */
 export interface RequestedAdapter {
   readonly model: string
   readonly adapter?: string
   readonly version?: number
 }
 
-/** How long and how urgently something is wanted. */
+/** Priority and deadlines of the requests for an adapter. */
 export interface DemandTerms {
   /** 0 is the most urgent. */
   readonly urgency: number
-  /** When nobody will wait for it any more. */
+  /** Time at which the last of the waiting requests gives up. */
   readonly until: Ms
-  /** When the last event that somebody waits for is due; past it, all who wait are late. */
+  /** Latest time at which the first event of a waiting request is due. After it, all waiting requests are late. */
   readonly dueAt: Ms
 }
 
-/** Something that is waited for. */
+/** A requested adapter that is not loaded yet. */
 export interface PendingAdapter extends DemandTerms { readonly want: RequestedAdapter, readonly since: Ms }
 
-/** One step of priority outweighs this many times the requests. */
+/** A step of one in urgency weighs as much as this factor in the number of requests. */
 const urgencyFactor = 3
-/** Time from the order of a load to the first event of a stream: the load itself and a prompt. */
+/** Time from a load order to the first event of a stream: the load and the reading of a prompt. */
 const loadLeadTime: Ms = 400
 /**
- * What an answer that comes late is worth to its caller, beside one in time. While slots are short, whoever can still be
- * in time goes first: in turn, all of them come late.
+ * Value of a late answer to its caller, where an answer in time counts 1. While adapter slots are short, adapters whose
+ * requests can still be answered in time are loaded first. Served by age alone, all requests would be late.
  */
 const lateWeight = 0.3
-/** Time in which a change of demand shows. */
+/** Half-life of the request counts, so that the popularity follows a change of demand within seconds. */
 const popularityHalfLife: Ms = 6_000
 const popularityCapacity = 5_000
 
-/** Names a model, or an adapter of it. */
+/** Key of a model, or of an adapter of it. */
 export function requestedAdapterKey ({ model, adapter }: RequestedAdapter): string { return `${model}/${adapter ?? ''}` }
 
-/** Counts what is asked for and keeps what waits. */
+/** Counts the requests for each adapter and keeps the adapters that are pending. */
 export class AdapterDemand {
   private readonly _pending = new Map<string, PendingAdapter>()
   private readonly _popularity = new DecayedCounter(popularityHalfLife, popularityCapacity)
@@ -71,15 +71,18 @@
     })
   }
 
-  /** A load that nobody waits for any more takes a slot from one that somebody does. */
+  /**
+   * Drops adapters whose waiting requests have all given up. Loaded nevertheless, they would take slots from adapters
+   * with waiting requests.
+   */
   dropExpired (now: Ms): void {
     for (const [key, { until }] of this._pending) if (until <= now) this._pending.delete(key)
   }
 
   /**
-   * Who is loaded first when the weight store can't feed all: what most requests wait for,
-   * counted more the more urgent they are and the sooner it is of use. Each entry asks again
-   * while it waits, so that what waits long gains weight too.
+   * Pending adapters, the first to load first, for a weight store that can't serve all loads at once. Adapters with
+   * more requests, more urgent requests and requests that can still be answered in time come first. A request that
+   * waits is counted once, however often its entry asks.
    */
   byPriority (now: Ms): readonly PendingAdapter[] {
     return [...this._pending.values()]
--- a/packages/decisions/src/lib/adapter-plan.ts
+++ b/packages/decisions/src/lib/adapter-plan.ts
@@ -1,5 +1,5 @@
 /**
- * Plans what one engine is ordered to load and unload, by the entry that orders it.
+ * Plans the load and unload orders for one engine, for the entry that is its holder.
  */
 import { assertNever, type Ms } from '@hazelford/core'
 import type { EngineReport, EngineSpec, EngineModel, LoadTarget, EngineOrderOutcome } from '@hazelford/ports'
@@ -7,43 +7,48 @@
 import { AdapterUses } from './adapter-uses.js'
 import { LoadTimes } from './load-times.js'
 
-/** What the plan wants done next. */
+/** Next action of the plan. */
 export type PlanAction =
   | { readonly kind: 'load', readonly target: LoadTarget }
   | { readonly kind: 'unload', readonly target: LoadTarget }
-  /** The engine must be asked what it holds. */
+  /** The engine must be asked for a report of its loaded adapters. */
   | { readonly kind: 'report' }
-  /** Nothing to do before `until`, or before something is asked for. */
+  /** Nothing to do before `until`, or before an adapter is requested. */
   | { readonly kind: 'idle', readonly until: Ms }
 
-/** Answer to a request for an adapter. */
+/** Answer to a load request. */
 export type Readiness =
-  /** Requests for it may be sent until `until`; it isn't unloaded before. */
+  /** Requests for the adapter may be sent until `until`; it isn't unloaded before. */
   | { readonly kind: 'ready', readonly until: Ms, readonly version: number | undefined }
-  /** It is on its way, or waits for a slot. */
+  /** The adapter is being loaded, or waits for an adapter slot. */
   | { readonly kind: 'coming' }
-  /** Every slot is in use, or requests still run on an older version: another engine can have it sooner. */
+  /**
+   * Every adapter slot is in use, or requests still run on an older version: another engine can have the adapter
+   * sooner.
+   */
   | { readonly kind: 'occupied' }
 
 /**
- * A request starts well within this time after its entry was told that it may. From then on
- * the entry's word on what it uses keeps the adapter; each second more would keep a third of
- * the slots from adapters that somebody waits for.
+ * Time for which an adapter stays loaded for a request whose entry was notified that it may send it; requests start
+ * well within it. From then on the entry's reports on the adapters that it uses keep the adapter. Each second more
+ * would keep a third of the adapter slots from adapters that requests wait for.
  */
 export const readyReservation: Ms = 300
-/** Adapters that may be in transit to one engine; it fails beyond. */
+/** Adapters that one engine may load at a time; the engine fails beyond it. */
 const maxInTransit = 4
-/** A report lags by some hundred ms; a later one shows the effect of an order. */
+/**
+ * Pause before a report is asked for, so that it shows the effect of the last order: reports lag by some hundred ms.
+ */
 const reportLag: Ms = 250
 const conflictBackoff: Ms = 100
 /**
- * Times an order without an answer is sent again before the engine is asked for a report. With a third of
- * the orders unanswered, one order in 2,000 gets this far.
+ * Times that an order without an answer is sent again before the engine is asked for a report. With a third of the
+ * orders unanswered, one order in 2,000 gets this far.
  */
 const maxOrderRetries = 6
-/** How soon a plan that found no slot looks again. */
+/** Pause after which the plan looks for an adapter slot again, when there was none. */
 const slotRetryInterval: Ms = 50
-/** An adapter just loaded stays this long, for those who waited for it. */
+/** Time for which an adapter that has just been loaded is kept for the requests that waited for it. */
 const loadedReservation: Ms = 150
 
 interface Slot {
@@ -51,26 +56,27 @@
   readonly adapter: string
   version: number | undefined
   /**
-   * - `in-transit`: accepted by the engine, which is asked from `readyAt` on whether it holds.
-   * - `unloading`: the engine waits for its requests to end.
+   * - `in-transit`: the engine has accepted the load order; from `readyAt` on it is asked whether the adapter is
+   *   loaded.
+   * - `unloading`: the engine waits for the adapter's requests to end.
    * - `unknown`: an order had no answer.
    */
   state: 'loaded' | 'in-transit' | 'unloading' | 'unknown'
-  /** When its load was ordered; of no meaning for one that is loaded or unloading. */
+  /** When the load was ordered; without meaning for a slot that is loaded or unloading. */
   orderedAt: Ms
   readyAt: Ms
-  /** Whether its load was not over when it should have been. */
+  /** Whether the load took longer than expected. */
   isLate: boolean
   reservedUntil: Ms
 }
 
-/** How an adapter is asked for. */
+/** Terms of one load request. */
 export interface LoadRequestTerms extends DemandTerms {
-  /** The engine has just refused a request for lack of it. */
+  /** Whether the engine has just refused a request because it lacks the adapter. */
   readonly missing: boolean
-  /** Whether to stand in line when every slot is in use. */
+  /** Whether the request waits when every adapter slot is in use; if not, the answer is `occupied`. */
   readonly mayWait: boolean
-  /** Whether the same request has asked here before: it is one request all the same. */
+  /** Whether the same request has asked before. It is not counted as a further request then. */
   readonly repeated: boolean
 }
 
@@ -80,14 +86,14 @@
 
 function slotKey (model: string, adapter: string): string { return `${model}/${adapter}` }
 
-/** Loads, unloads and promises of one engine. Reads no clock; each call names the time. */
+/** Loads, unloads and reservations of the adapters of one engine. It reads no clock; each call passes the time. */
 export class AdapterPlan {
   private _slots = new Map<string, Slot>()
   private _models = new Map<string, 'loaded' | 'in-transit' | 'unknown'>()
   private readonly _demand = new AdapterDemand()
   private readonly _uses = new AdapterUses()
   private readonly _loadTimes = new LoadTimes()
-  /** An order without an answer; it is sent again before any other. */
+  /** The order that got no answer; it is sent again before any other. */
   private _unansweredOrder: PlanAction & { readonly kind: 'load' | 'unload' } | undefined
   private _orderRetries = 0
   private _needsReport = true
@@ -96,20 +102,23 @@
 
   constructor (private readonly _spec: EngineSpec) {}
 
-  /** Adapters loaded, on their way or leaving: all of them hold slots. */
+  /** Adapters that are loaded, loading or unloading; each of them occupies an adapter slot. */
   get slotsUsed (): number { return this._slots.size }
 
   get waiting (): number { return this._demand.size }
 
-  /** Orders that the engine has counted, which the next one names as what it is based on. */
+  /**
+   * Number of orders that the engine has counted. The next order names it, so that the engine refuses an order that is
+   * based on another view of it.
+   */
   get orders (): number { return this._orders }
 
   hasModelLoaded (model: string): boolean { return this._models.get(model) === 'loaded' }
 
   /**
-   * Takes what the engine says it holds.
+   * Applies the engine's report of its loaded adapters.
    *
-   * @param report - asked for at `askedAt`
+   * @param report - the engine's answer to a question asked at `askedAt`
    * @param askedAt - time
    */
   applyReport (report: EngineReport, askedAt: Ms): void {
@@ -126,7 +135,7 @@
       const ordered = before?.state === 'in-transit' || before?.state === 'unknown' ? before : undefined
       this._slots.set(key, { model, adapter, version, state: 'in-transit', orderedAt: ordered?.orderedAt ?? askedAt, readyAt: Math.max(ordered?.readyAt ?? 0, askedAt + this._loadTimes.shortest), isLate: false, reservedUntil: 0 })
     }
-    // An order that was accepted after the report's values were read isn't in it yet.
+    // A report lags and lacks orders that the engine accepted shortly before it was asked, so their slots are kept.
     for (const [key, slot] of previous) {
       if (slot.state === 'in-transit' && slot.readyAt > askedAt - reportLag && !this._slots.has(key)) this._slots.set(key, slot)
     }
@@ -150,12 +159,12 @@
   }
 
   /**
-   * Takes an entry's word on the adapters that its open requests use here.
+   * Records the adapters that the open requests of an entry use at this engine.
    *
-   * An adapter that is unloaded under its requests stays until they end, and refuses new
-   * ones all that time; its slot is gained no sooner.
+   * An adapter that is unloaded while requests use it stays loaded until they end, and refuses new requests for all
+   * that time. Its slot becomes free no sooner, so such an adapter is not unloaded.
    *
-   * @param entry - who says so
+   * @param entry - the entry that reports
    * @param keys - `model/adapter`
    * @param now - time
    */
@@ -163,7 +172,7 @@
     this._uses.note(entry, keys, now)
   }
 
-  /** Notes a request that is about to use an adapter, until its entry's next word. */
+  /** Records a request that is about to use an adapter, until its entry's next report. */
   addUse (entry: string, model: string, adapter: string, now: Ms): void {
     this._uses.add(entry, slotKey(model, adapter), now)
     const slot = this._slots.get(slotKey(model, adapter))
@@ -171,8 +180,8 @@
   }
 
   /**
-   * Keeps an adapter for a request that waits for a place. Unloaded meanwhile, it would have to be loaded anew for a request
-   * that was told it is there.
+   * Extends the reservation of an adapter for a request that waits for a batch slot. Unloaded meanwhile, the adapter
+   * would have to be loaded anew for a request whose entry was notified that it is loaded.
    */
   extendReservation (model: string, adapter: string, until: Ms): void {
     const slot = this._slots.get(slotKey(model, adapter))
@@ -180,10 +189,10 @@
   }
 
   /**
-   * Asks for an adapter, or for a model alone.
+   * Requests an adapter, or a model alone.
    *
-   * @param requested - in the version declared, if one is
-   * @param terms - how urgent, for how long
+   * @param requested - with a version, if one is declared
+   * @param terms - priority and deadlines
    * @param now - time
    */
   requestAdapter (requested: RequestedAdapter, terms: LoadRequestTerms, now: Ms): Readiness {
@@ -198,7 +207,7 @@
     return { kind: 'coming' }
   }
 
-  /** Whether it takes the end of somebody's requests to make room. */
+  /** Whether an adapter slot becomes free only when running requests end. */
   private _isOccupied (key: string, slot: Slot | undefined, now: Ms): boolean {
     if (slot !== undefined) return slot.state === 'unloading' || (slot.state === 'loaded' && this._uses.inUse(key, now))
     const ahead = this._demand.keys().filter(other => !this._slots.has(other)).length
@@ -213,9 +222,9 @@
   }
 
   /**
-   * Promises an adapter or a model that can be used now.
+   * Reserves an adapter or a model that can be used now.
    *
-   * @returns undefined when it can't be
+   * @returns undefined when it can't be used now
    */
   reserve (requested: RequestedAdapter, now: Ms): Readiness & { readonly kind: 'ready' } | undefined {
     const key = requestedAdapterKey(requested)
@@ -238,7 +247,7 @@
     return slot.state === 'loaded'
   }
 
-  /** The engine lacks what the plan took for loaded: the load is late, or its view is wrong. */
+  /** The engine lacks an adapter that the plan counts as loaded: its load is late, or the plan's view is wrong. */
   private _invalidate (slot: Slot, now: Ms): void {
     slot.state = 'unknown'
     slot.orderedAt = now
@@ -246,7 +255,7 @@
     this._scheduleReport(now)
   }
 
-  /** When the next load should be over; undefined when none is under way. */
+  /** Time at which the next load is expected to end; undefined when none runs. */
   nextLoadDueAt (now: Ms): Ms | undefined {
     let next: Ms | undefined
     for (const slot of this._slots.values()) {
@@ -256,7 +265,7 @@
   }
 
   /**
-   * Decides the next order. One order is under way at any time.
+   * Decides the next action. One order is in progress at any time.
    *
    * @param now - time
    */
@@ -272,14 +281,14 @@
       const action = want.adapter === undefined ? undefined : this._actionFor(want, now)
       if (action !== undefined) return action
     }
-    // A waiting adapter may need a slot whose promise runs out.
+    // The slot for a pending adapter may be reserved now and free when the reservation ends.
     const retry = this._demand.size > 0 ? now + slotRetryInterval : Infinity
     return { kind: 'idle', until: Math.min(retry, this.nextLoadDueAt(now) ?? Infinity) }
   }
 
   /**
-   * A load whose time should be over. Its order is sent once more: the engine says at once
-   * whether it holds, while a report lags by some hundred ms.
+   * A load that should have ended. Its order is sent once more: the engine answers at once whether the adapter is
+   * loaded, while a report lags by some hundred ms.
    */
   private _loadToConfirm (now: Ms): PlanAction | undefined {
     for (const slot of this._slots.values()) {
@@ -289,9 +298,8 @@
   }
 
   /**
-   * An engine starts empty after a crash. Its model is loaded before anybody asks, since
-   * nobody sends requests to an engine without one. With several models, one that is asked
-   * for goes first, then the first that fits.
+   * Next model to load. An engine is empty after a crash. A model is loaded before it is requested, since entries send
+   * no requests to an engine without one. With several models, a requested one goes first, then the first that fits.
    */
   private _modelToLoad (): string | undefined {
     if ([...this._models.values()].includes('in-transit')) return undefined
@@ -307,8 +315,8 @@
     const slot = this._slots.get(slotKey(model, adapter))
     if (slot !== undefined && (slot.state !== 'loaded' || this._isUsable(slot, requested))) return undefined
     if (this._inTransit() >= maxInTransit || !this._storeHasRoom(requested)) return undefined
-    // A newer version takes the slot of the older one, once its requests have ended: until
-    // then the engine would refuse new ones.
+    // A newer version replaces the older one in its slot after the requests on the older one have ended: until then the
+    // engine would refuse new requests.
     if (slot !== undefined) return this._uses.inUse(slotKey(model, adapter), now) ? undefined : { kind: 'load', target: requested }
     if (this._slots.size < this._spec.adapterSlots && this._weightsFit(model)) return { kind: 'load', target: requested }
     const victim = this._victim(now)
@@ -320,10 +328,10 @@
   }
 
   /**
-   * Whether a load from the weight store would only slow down those under way.
+   * Whether the weight store can serve one more load without slowing down those in progress.
    *
-   * The store shares its rate between all loads of all engines. Beyond what it can feed,
-   * more loads at once bring no adapter sooner and each one later.
+   * The store shares its rate between all loads of all engines. Beyond what it can serve, more loads at once bring no
+   * adapter sooner and make each of them later.
    */
   private _storeHasRoom ({ model, adapter }: RequestedAdapter): boolean {
     if (this._loadTimes.isRecent(slotKey(model, adapter ?? ''))) return true
@@ -342,14 +350,14 @@
   /**
    * Whether an adapter may be unloaded.
    *
-   * One that a request was promised must not go: the request would be refused by the
-   * engine, or wait for a load that it was told is done.
+   * A reserved adapter must stay loaded: otherwise the engine would refuse its request, or the request would wait for a
+   * load that its entry was notified has ended.
    */
   private _isEvictable (key: string, slot: Slot, now: Ms): boolean {
     return slot.state === 'loaded' && slot.reservedUntil <= now && !this._demand.isPending(key) && !this._uses.inUse(key, now)
   }
 
-  /** The least used adapter that may go. */
+  /** The evictable adapter with the fewest recent requests. */
   private _victim (now: Ms): Slot | undefined {
     let worst: Slot | undefined
     let least = Infinity
@@ -364,10 +372,10 @@
   }
 
   /**
-   * Takes the engine's word on an order.
+   * Records the outcome of an order.
    *
    * @param action - the order
-   * @param outcome - undefined when no answer came
+   * @param outcome - the engine's answer; undefined when none came
    * @param now - time
    */
   recordOrderOutcome (action: PlanAction & { readonly kind: 'load' | 'unload' }, outcome: EngineOrderOutcome | undefined, now: Ms): void {
@@ -384,7 +392,7 @@
         this._handleNoAnswer(action, now)
         return
       case 'conflict':
-        // Reports lag; the order that was counted may be too young to be in one yet.
+        // Reports lag; one that is asked for at once may not show the order that the engine has counted yet.
         this._scheduleReport(now + conflictBackoff)
         return
       case 'refused':
@@ -397,11 +405,11 @@
   }
 
   /**
-   * Whether the engine counts an order that it took.
+   * Whether the engine counts an order that it has accepted.
    *
-   * A load that is under way, asked after again, is accepted once more but changes nothing and is
-   * not counted. Counted here, it made the engine refuse the next order as based on another
-   * view, at the price of a report and of a time in which nothing could be loaded there.
+   * A load order that is sent again while the load is in progress is accepted once more, but changes nothing and is not
+   * counted by the engine. If it were counted here, the engine would refuse the next order as based on another view,
+   * and nothing could be loaded there until the engine has sent a report.
    */
   private _isCounted (action: PlanAction & { readonly kind: 'load' | 'unload' }, outcome: 'accepted' | 'holds'): boolean {
     if (action.kind === 'unload') return true
@@ -411,12 +419,11 @@
   }
 
   /**
-   * An order that got no answer may have been taken, or may be carried out seconds later.
+   * Handles an order without an answer. The engine may have accepted it, or may carry it out seconds later.
    *
-   * Sent again on the same view of the engine, it settles both: taken, the engine has
-   * counted it and refuses the second; not taken, the second is counted and the engine
-   * refuses the first whenever it comes. Until then a load counts as holding its slot,
-   * or one too many could follow.
+   * The same order, sent again on the same view of the engine, settles both cases. If the first one was accepted, the
+   * engine has counted it and refuses the second. If not, the engine counts the second and refuses the first whenever
+   * it arrives. Until then a load counts as occupying its slot, since otherwise the plan could order one load too many.
    */
   private _handleNoAnswer (action: PlanAction & { readonly kind: 'load' | 'unload' }, now: Ms): void {
     if (action.kind === 'load') this._recordUnknown(action.target, now)
--- a/packages/decisions/src/lib/decayed-counter.ts
+++ b/packages/decisions/src/lib/decayed-counter.ts
@@ -1,5 +1,5 @@
 /**
- * Counts that fade, so that what was popular yesterday does not hold a slot today.
+ * Exponentially decayed counts, so that an adapter that is no longer requested loses its adapter slot.
  */
 import type { Ms } from '@hazelford/core'
 
@@ -13,17 +13,17 @@
 
   /**
    * @param _halfLife - ms in which a count halves
-   * @param _capacity - keys kept; the faintest go first
+   * @param _capacity - keys kept; beyond it, keys with negligible counts are dropped first
    */
   constructor (private readonly _halfLife: Ms, private readonly _capacity = 100_000) {}
 
-  /** Counts a use, or several. */
+  /** Adds one use, or several. */
   add (key: string, at: Ms, uses = 1): void {
     this._counts.set(key, { value: this.read(key, at) + uses, at })
     if (this._counts.size > this._capacity) this._prune(at)
   }
 
-  /** Decayed count now. */
+  /** Decayed count at a time. */
   read (key: string, at: Ms): number {
     const count = this._counts.get(key)
     if (count === undefined) return 0
@@ -34,7 +34,7 @@
     for (const key of this._counts.keys()) {
       if (this.read(key, at) < pruneThreshold) this._counts.delete(key)
     }
-    // All may still be above the floor; insertion order then stands for age.
+    // All counts may still be above the threshold. The keys that were inserted first are dropped then.
     for (const key of this._counts.keys()) {
       if (this._counts.size <= this._capacity) return
       this._counts.delete(key)
--- a/packages/decisions/src/lib/load-throttle.ts
+++ b/packages/decisions/src/lib/load-throttle.ts
@@ -1,44 +1,47 @@
 /**
- * Paces the loads of one sidecar while nothing tells it of the others.
+ * Limits the rate of loads of one sidecar while it learns nothing of the other sidecars' loads.
  */
 import type { Ms } from '@hazelford/core'
 
 /**
- * A load this much slower than the fastest seen shared the store with so many others
- * that a further one only adds to everybody's wait. Two at a time cost no throughput.
+ * A load that took longer than the fastest one by this factor shared the weight store with so many others that a
+ * further load only adds to the wait of all. Two loads at a time cost no throughput.
  */
 const contendedFactor = 3
 const intervalGrowth = 1.5
 const intervalShrink = 0.6
-/** Old records fade, so that a store that became slower is not taken for a busy one for ever. */
+/**
+ * Growth of the fastest load time with each load, so that a store that has become slower is not taken for a busy one
+ * for ever.
+ */
 const fastestLoadDrift = 1.02
 
 /**
- * Shortens the interval while loads are fast and lengthens it, up to the safe share,
- * while they are slow or fail.
+ * Shortens the interval between loads while loads are fast, and lengthens it, up to the safe interval, while they are
+ * slow or fail.
  *
- * A fixed share of the store's rate is safe, but most sidecars need less than theirs
- * at any moment and some need more. The time of a load shows how many run at once.
+ * An equal share of the store's rate is safe, but most sidecars need less than theirs at any moment and some need more.
+ * The time of a load shows how many loads run at once.
  */
 export class LoadThrottle {
   private _interval: Ms
   private _fastestLoad: Ms = Infinity
   private _lastStart: Ms = -Infinity
 
-  /** @param _share - interval that is safe if all sidecars load at the same rate, in ms */
+  /** @param _share - interval in ms that is safe if all sidecars load at the same rate */
   constructor (private readonly _share: Ms) { this._interval = _share }
 
-  /** Ms to wait before the next load may start. */
+  /** Ms until the next load may start. */
   delay (now: Ms): Ms { return Math.max(0, this._lastStart + this._interval - now) }
 
-  /** Notes that a load starts. */
+  /** Records the start of a load. */
   started (now: Ms): void { this._lastStart = now }
 
   /**
-   * Notes how a load went.
+   * Records the end of a load.
    *
    * @param took - ms
-   * @param loaded - false when the store refused or failed
+   * @param loaded - false when the store refused the load or it failed
    */
   ended (took: Ms, loaded: boolean): void {
     if (loaded) this._fastestLoad = Math.min(this._fastestLoad * fastestLoadDrift, took)
--- a/packages/decisions/src/lib/load-times.ts
+++ b/packages/decisions/src/lib/load-times.ts
@@ -1,25 +1,25 @@
 /**
- * How long an engine takes to load an adapter, learned from its loads.
+ * Expected times of an engine's loads, learned from the loads that have ended.
  */
 import type { Ms } from '@hazelford/core'
 
-/** First guesses, from the description of usual engines; corrected by what is seen. */
+/** Initial estimates from the description of typical engines, corrected by the loads that have ended. */
 const storeLoadTime: Ms = 250
 const hostCopyLoadTime: Ms = 25
 /** Added to an expected time: the engine's next step. */
 const loadMargin: Ms = 2
-/** Part of a late load's time so far after which the engine is asked again, and the least pause. */
+/** Share of a late load's time so far after which the engine is asked again, and the least pause before that. */
 const lateRetryShare = 0.12
 const minLateRetry: Ms = 12
 /**
- * Loads slow down while many run, and nobody sees them all: the last few loads tell. One that
- * was over when first asked after may have been over for a while, and counts as a seventh
- * faster than it was expected.
+ * Weight of one load in the slowdown, which the last few loads determine. Loads slow down while many run at a time, and
+ * no entry sees all of them. A load that had ended when the engine was first asked may have ended some time before: it
+ * counts as 15 % faster than expected.
  */
 const slowdownWeight = 0.3
 const onTimeFactor = 0.85
 const minSlowdown = 0.1
-/** Adapters whose copies an engine keeps in its host's memory. */
+/** Number of adapters of which an engine keeps copies in its host's memory. */
 const recentCapacity = 120
 
 /** Expected load times of one engine. */
@@ -27,10 +27,10 @@
   private _slowdown = 1
   private readonly _recent = new Set<string>()
 
-  /** What the weight store's loads are slower by than when few run; under 1 if they are faster than guessed. */
+  /** Factor by which loads from the weight store take longer than estimated; under 1 if they are faster. */
   get slowdown (): number { return this._slowdown }
 
-  /** Whether the engine has held an adapter lately, so that a load reads a copy in its host's memory. */
+  /** Whether the adapter was loaded on this engine recently, so that a load reads a copy in its host's memory. */
   isRecent (key: string): boolean { return this._recent.has(key) }
 
   markRecent (key: string): void {
@@ -44,18 +44,18 @@
 
   expected (key: string): Ms { return (this.isRecent(key) ? hostCopyLoadTime : storeLoadTime * this._slowdown) + loadMargin }
 
-  /** Pause before a load that takes longer than expected is asked after again. */
+  /** Pause before the engine is asked again about a load that takes longer than expected. */
   retryAfter (soFar: Ms): Ms { return Math.max(minLateRetry, soFar * lateRetryShare) }
 
-  /** The least time any load takes. */
+  /** Shortest time of any load. */
   get shortest (): Ms { return hostCopyLoadTime }
 
   /**
-   * Learns from a load that is over.
+   * Records a load that has ended.
    *
    * @param key - the adapter
-   * @param took - ms from its order
-   * @param late - whether it was not over when it should have been
+   * @param took - ms since its order
+   * @param late - whether it had not ended at the expected time
    */
   record (key: string, took: Ms, late: boolean): void {
     if (this.isRecent(key)) return
--- a/packages/decisions/src/lib/moving-average.ts
+++ b/packages/decisions/src/lib/moving-average.ts
@@ -7,7 +7,7 @@
 
   /**
    * @param initial - value before the first sample
-   * @param _weight - share of each new sample
+   * @param _weight - weight of each new sample
    */
   constructor (initial: number, private readonly _weight = 0.2) {
     this._value = initial
@@ -18,7 +18,7 @@
   /** The average, or 0 before the first sample. */
   get measured (): number { return this._hasSample ? this._value : 0 }
 
-  /** Takes a sample; the first replaces the initial value. */
+  /** Adds a sample; the first one replaces the initial value. */
   add (sample: number): void {
     this._value = this._hasSample ? this._value + this._weight * (sample - this._value) : sample
     this._hasSample = true
--- a/packages/decisions/src/lib/place-request.ts
+++ b/packages/decisions/src/lib/place-request.ts
@@ -1,29 +1,30 @@
 /**
- * Ranks the upstreams that a request may be sent to directly.
+ * Ranks the upstreams to which an entry may send a request directly.
  */
 import { assertNever, type Ms } from '@hazelford/core'
 
 /**
- * What is known of the request's adapter at an upstream.
+ * State of the request's adapter at an upstream, as far as this entry knows.
  *
  * - `loaded`: a request can start at once.
- * - `recent`: it was there lately; a copy in the host's memory loads ten times as fast as the weight store.
- * - `loadable`: somebody can order it.
- * - `unavailable`: nobody can order it there now.
+ * - `recent`: the adapter was loaded there recently; a copy in the host's memory loads ten times as fast as one from
+ *   the weight store.
+ * - `loadable`: a holder can order its load.
+ * - `unavailable`: no holder can order its load now.
  */
 export type AdapterPresence = 'loaded' | 'recent' | 'loadable' | 'unavailable'
 
-/** One upstream as the ranking sees it. */
+/** One upstream that may get the request. */
 export interface PlacementCandidate {
   readonly id: string
   readonly sameZone: boolean
-  /** Requests that all entries have there, as far as this one knows. */
+  /** Requests of all entries there, as far as this entry knows. */
   readonly running: number
-  /** Prompt tokens sent there that it can't have read yet. */
+  /** Prompt tokens sent there that the upstream can't have read yet. */
   readonly promptBacklog: number
-  /** Requests it runs at once. */
+  /** Batch slots: requests that the upstream runs at once. */
   readonly slots: number
-  /** Smoothed time to the first byte, 0 when unknown. */
+  /** Moving average of the time to the first byte; 0 when unknown. */
   readonly latency: Ms
   readonly failureShare: number
   readonly adapter: AdapterPresence
@@ -31,39 +32,42 @@
   readonly rank: number
 }
 
-/** What holds for all candidates of one request. */
+/** Values that are the same for all candidates of one request. */
 export interface PlacementContext {
-  /** Upstreams that the adapter's requests are spread over. */
+  /** Number of home upstreams of the adapter, over which its requests are spread. */
   readonly replicas: number
-  /** Ms that a request of the service stays at its upstream; 0 when unknown. */
+  /** Ms that a request of the service occupies a batch slot; 0 when unknown. */
   readonly serviceTime: Ms
 }
 
-/** A message to another zone and back, and the price of its bytes. */
+/** Cost of another availability zone: a message there and back, and the price of the traffic. */
 const crossZoneCost: Ms = 4
-/** Wait for an adapter of which a copy is in the host's memory. */
+/** Wait for a load from a copy in the host's memory. */
 const hostCopyLoadCost: Ms = 40
-/** Wait for an adapter that comes from the weight store. */
+/** Wait for a load from the weight store. */
 const storeLoadCost: Ms = 250
 /**
- * Weighs a copy away from home, beside the wait: a slot taken from another adapter, and a place that the other
- * entries don't look at first. Worth more than the fullest batch costs.
+ * Cost of a copy outside the adapter's home upstreams, on top of the wait for its load: it takes an adapter slot from
+ * another adapter, and other entries don't look for it there first. It is higher than the cost of a full batch, so that
+ * a busy home alone causes no second copy.
  */
 const extraCopyCost: Ms = 280
-/** A copy that is away from home already is used while it is there, but draws no lasting traffic. */
+/**
+ * Cost of using an existing copy outside the adapter's home upstreams: it is used while it is loaded, but attracts no
+ * lasting traffic.
+ */
 const extraCopyUseCost: Ms = 20
 const unavailableCost: Ms = 1_500
-/** How much slower a full batch is than an empty one, to the caller who waits for its first event. */
+/** Time by which a request in a full batch gets its first event later than one in an empty batch. */
 const fullBatchCost: Ms = 120
-/** Least cost of each request beyond the batch, where it is not known how long one stays. */
+/** Least cost of each request beyond the batch slots; used as it is where the service time is unknown. */
 const queueCost: Ms = 40
 /**
- * Prompt tokens that an engine reads in a ms; large models on current accelerators read 30
- * to 40. While it reads, the streams that run there stand still, and all of them are late
- * when several long prompts come together.
+ * Prompt tokens that an engine reads in a ms; large models on current accelerators read 30 to 40. While it reads a
+ * prompt, the streams that run there stand still, and all of them are late when several long prompts arrive together.
  */
 export const promptTokensPerMs = 35
-/** A failed request costs its caller about a latency target. */
+/** A failed request costs its caller about one latency target. */
 const failureCost: Ms = 800
 
 function adapterCost ({ adapter, rank }: PlacementCandidate, { replicas }: PlacementContext): Ms {
@@ -74,14 +78,17 @@
     case 'recent': return hostCopyLoadCost + awayFromHome
     case 'loadable':
       if (!atHome) return storeLoadCost + extraCopyCost
-      // A further home of a hot adapter is worth its load, or it would never be used.
+      // A further home of a popular adapter must be cheap enough to be loaded, or it would never be used.
       return replicas > 1 ? hostCopyLoadCost : storeLoadCost
     case 'unavailable': return unavailableCost + awayFromHome
     default: return assertNever(adapter)
   }
 }
 
-/** Wait for a place behind those who wait already: with streams of 2.5 s and 12 places, one is free each 208 ms. */
+/**
+ * Wait for a batch slot behind the requests that wait already. With streams of 2.5 s and 12 batch slots, one becomes
+ * free every 208 ms.
+ */
 function batchSlotWait ({ running, slots }: PlacementCandidate, { serviceTime: stay }: PlacementContext): Ms {
   return Math.max(0, running + 1 - slots) * Math.max(queueCost, stay / slots)
 }
@@ -94,13 +101,12 @@
 /**
  * Ranks candidates by the wait that a request can expect there.
  *
- * Answers the load of very many adapters with skewed popularity: each has a few homes that
- * all entries agree on, so that its slot, its recent copy in the host's memory and the
- * cached prompt parts are in one place; the hottest have more homes, so that no batch
- * fills while others are empty.
+ * Serves very many adapters of skewed popularity. Each adapter has a few home upstreams that all entries compute alike,
+ * so that its adapter slot, its copy in the host's memory and the cached parts of its prompts are in one place. The
+ * most popular adapters have more homes, so that no batch is full while others are empty.
  *
  * @param candidates - upstreams that may have the request
- * @param context - what holds for all of them
+ * @param context - values that are the same for all of them
  * @returns best first
  */
 export function rankCandidates (candidates: readonly PlacementCandidate[], context: PlacementContext): readonly PlacementCandidate[] {
@@ -110,25 +116,28 @@
     .map(ranked => ranked.candidate)
 }
 
-/** Share of the requests from which an adapter has a second home, so that load can be evened out, where slots are many. */
+/**
+ * Share of the requests from which an adapter has a second home, where adapter slots are many. The choice between two
+ * homes evens out the load.
+ */
 const popularShare = 0.01
 /**
- * Times the mean slot's share of the requests that each of two homes must serve, at least. Below, the second one
- * takes a slot from adapters that are asked for more often than it is.
+ * Least share of the requests for each of two homes, as a multiple of the mean share of an adapter slot. Below it, the
+ * second home takes an adapter slot from adapters that are requested more often.
  */
 const minSlotShareFactor = 1
 const homesPerShare = 2
 
 /**
- * Homes of an adapter.
+ * Number of home upstreams of an adapter.
  *
- * Skewed popularity puts a fifth of all requests on one adapter and half of them on a dozen.
- * With one home each the fullest engine gets half as much again as the mean; with two for
- * each of the dozen the choice between them evens that out, for a dozen slots.
+ * With skewed popularity a fifth of all requests are for one adapter and half of them for a dozen. With one home for
+ * each, the fullest engine gets half as many requests again as the mean one. With two homes for each of the dozen, the
+ * choice between them evens that out, at the price of a dozen adapter slots.
  *
- * @param share - part of the service's requests that are for it, 0 to 1
- * @param upstreams - upstreams of the service
- * @param slotsEach - adapters that one of them holds
+ * @param share - share of the service's requests that are for the adapter, 0 to 1
+ * @param upstreams - number of upstreams of the service
+ * @param slotsEach - adapter slots of one of them
  */
 export function replicasFor (share: number, upstreams: number, slotsEach: number): number {
   const popular = Math.max(popularShare, 2 * minSlotShareFactor / (upstreams * slotsEach))
--- a/packages/decisions/src/lib/rendezvous.ts
+++ b/packages/decisions/src/lib/rendezvous.ts
@@ -1,6 +1,5 @@
 /**
- * Rendezvous hashing: every entry ranks the upstreams for a key alike, without
- * talking to the others.
+ * Rendezvous hashing: all entries compute the same ranking of upstreams for a key without communicating.
  */
 import MurmurHash3 from 'imurmurhash'
 
@@ -20,7 +19,7 @@
  *
  * @param key - adapter or idempotency key
  * @param nodes - upstream names
- * @returns the names, best first; removing a node leaves the order of the others
+ * @returns the names, highest weight first; the removal of a node leaves the order of the others
  */
 export function rendezvousOrder (key: string, nodes: readonly string[]): readonly string[] {
   return nodes
--- a/packages/decisions/src/lib/revision-holder.ts
+++ b/packages/decisions/src/lib/revision-holder.ts
@@ -1,29 +1,29 @@
 /**
- * Holds the newest configuration that a process has seen.
+ * Keeps the configuration of the highest revision that a process has received.
  */
 import type { ConfigDocument } from '@hazelford/core'
 
 /**
- * Never goes to a lower revision.
+ * Keeps the configuration document of the highest revision; the revision never decreases.
  *
- * A read can be stale, a store can be restored from an old copy, and a process that
- * was paused can offer what it had. Following any of these would put an operator's
- * earlier decision back in force, and a status page would show a revision that falls.
+ * A read from the store can be stale, the store can be restored from an old backup, and a process that was suspended
+ * can offer an outdated document. Applying any of these would reinstate a configuration that an operator has replaced,
+ * and the status page would show a revision that decreases.
  */
 export class RevisionHolder {
   private _current: ConfigDocument | undefined
 
-  /** The document in force here. */
+  /** The document in effect in this process. */
   get current (): ConfigDocument | undefined { return this._current }
 
-  /** Its revision, or 0 before the first. */
+  /** Revision of the document in effect; 0 before the first. */
   get revision (): number { return this._current?.revision ?? 0 }
 
   /**
    * Offers a document from any source.
    *
-   * @param doc - checked document
-   * @returns whether it is newer and is now held
+   * @param doc - validated document
+   * @returns whether its revision is higher, so that it is now in effect
    */
   offer (doc: ConfigDocument): boolean {
     if (doc.revision <= this.revision) return false
