--- a/packages/decisions/src/lib/choose-upstream.ts
+++ b/packages/decisions/src/lib/choose-upstream.ts
@@ -13,25 +13,28 @@
   readonly zonePenalty: Ms
 }
 
-/** What is to be sent. */
+/** The request to be sent. */
 export interface RouteQuery {
   readonly adapter?: AdapterKey
-  /** Given for a keyed call: repeats prefer the same upstream. */
+  /** Set for a call with an idempotency key: repeated calls prefer the same upstream. */
   readonly affinityKey?: string
-  /** The entry's own zone. */
+  /** The entry's own availability zone. */
   readonly zone: string
-  /** Upstreams that refused this request already. */
+  /** Upstreams that have refused this request. */
   readonly tried: ReadonlySet<string>
 }
 
-/** A load elsewhere costs the shared weight store, not only this request. */
+/**
+ * Weight of a load of an adapter that is loaded on another upstream: it costs the shared weight store, not only this
+ * request.
+ */
 const extraReplicaFactor = 2
-/** An adapter's preferred upstream may carry this much more than the mean. */
+/** Factor by which an adapter's preferred upstream may exceed the mean load. */
 const loadBoundFactor = 1.25
-/** Costs closer than this (ms) count as equal. */
+/** Costs that differ by less than this (ms) count as equal. */
 const costTolerance: Ms = 2
 
-/** Times that hold for all upstreams of a service. */
+/** Estimates that are used for all upstreams of a service. */
 interface Estimates { readonly loadMs: Ms, readonly serviceMs: Ms, readonly backlog: number }
 
 const defaultLoadMs: Ms = 500
@@ -43,11 +46,11 @@
 }
 
 /**
- * Pools what the upstreams measured.
+ * Averages what the upstreams measured.
  *
- * All load from one weight store. Taken each for itself, the first upstream to load
- * anything shows a short time, the others still a guess, and all later loads go to
- * the first while the rest stay empty.
+ * All of them load from one weight store. If each upstream's own values were used, the first one to load anything would
+ * show a short time and the others still an estimate, so that all later loads would go to the first while the rest stay
+ * empty.
  */
 function estimatesOf (candidates: readonly UpstreamView[]): Estimates {
   return {
@@ -63,7 +66,7 @@
   return fresh.length > 0 ? fresh : open
 }
 
-/** Power of two choices: of two at random, the one with less to do. */
+/** Power of two choices: of two random candidates, the one with the lower cost. */
 function lighterOfTwo (candidates: readonly UpstreamView[], query: RouteQuery, weights: RouteWeights, now: Ms, random: () => number): UpstreamView {
   const pick = (): UpstreamView => candidates[Math.floor(random() * candidates.length)]!
   const [a, b] = [pick(), pick()]
@@ -73,7 +76,7 @@
   return cost(a) <= cost(b) ? a : b
 }
 
-/** Rank of each candidate for an adapter that is loaded nowhere, bounded by load. */
+/** Rank of each candidate for an adapter that is loaded nowhere: rendezvous order, with overloaded candidates last. */
 function placementOrder (adapter: AdapterKey, candidates: readonly UpstreamView[], now: Ms): ReadonlyMap<string, number> {
   const mean = candidates.reduce((sum, view) => sum + view.load / view.report.places, 0) / candidates.length
   const bound = loadBoundFactor * mean + 1 / candidates.length
@@ -91,18 +94,17 @@
   switch (view.adapterState(adapter)) {
     case 'loaded': return 0
     case 'loading': return times.loadMs / 2
-    // Every load takes its turn at the one weight store, behind those that wait at
-    // any upstream.
+    // Every load waits for the shared weight store, behind the loads that wait at any upstream.
     case 'absent': return times.loadMs * (1 + times.backlog) * (isLoadedSomewhere ? extraReplicaFactor : 1)
   }
 }
 
-/** A fuller batch is no reason to load an adapter a second time. */
+/** Whether the upstream would load a second copy of the adapter; a fuller batch there is no reason for that. */
 function isExtraReplica (view: UpstreamView, adapter: AdapterKey, isLoadedSomewhere: boolean): boolean {
   return isLoadedSomewhere && view.adapterState(adapter) === 'absent'
 }
 
-/** Gain of joining a batch that runs and has room, in ms of service. */
+/** Gain of joining a running batch with free slots, in ms of service time. */
 function batchGain (view: UpstreamView, serviceMs: Ms): Ms {
   const { places } = view.report
   const room = places - view.load
@@ -110,12 +112,11 @@
 }
 
 /**
- * Chooses where a request goes.
+ * Chooses the upstream for a request.
  *
- * Loaded adapters attract their requests until the queue there costs more than a
- * load elsewhere; that is also what adds a replica of a popular adapter. An adapter
- * held nowhere goes to its rendezvous upstream, which all entries agree on without
- * talking, unless that one carries more than its share.
+ * Upstreams that have the adapter loaded get its requests until the queue there costs more than a load elsewhere; in
+ * this way a popular adapter gets a further replica. An adapter that is loaded nowhere goes to its rendezvous upstream,
+ * which all entries compute alike without communicating, unless that upstream carries more than its share.
  *
  * @param query - the request
  * @param views - upstreams of its service
@@ -145,8 +146,8 @@
       weights.batch * (isExtraReplica(view, adapter, isLoadedSomewhere) ? 0 : batchGain(view, times.serviceMs)) +
       (view.zone === query.zone ? 0 : weights.zonePenalty) +
       (isLoadedSomewhere ? 0 : placement.get(view.name)! * times.loadMs) +
-      // Entries see the same late reports. A little noise keeps them from all
-      // choosing the same upstream between two reports.
+      // All entries see the same late reports. A little random noise keeps them from all choosing the same upstream
+      // between two reports.
       random() * costTolerance
     if (cost >= least) continue
     best = view
--- a/packages/decisions/src/lib/engine-assignment.ts
+++ b/packages/decisions/src/lib/engine-assignment.ts
@@ -1,18 +1,18 @@
 /**
- * Spreads engines evenly over the entries that order them.
+ * Distributes engines evenly over the entries that hold them.
  */
 import type { Ms } from '@hazelford/core'
 import { rendezvousOrder } from './rendezvous.js'
 
-/** Who orders what, as one entry sees it. */
+/** The entries and the engines that they hold, as one entry sees them. */
 export interface EngineAssignment {
-  /** Entries that live. */
+  /** Running entries. */
   readonly entries: readonly string[]
   /** Holder of each engine that has one. */
   readonly holders: ReadonlyMap<string, string>
 }
 
-/** An engine to be given to another entry. */
+/** An engine that its holder releases for another entry to claim. */
 export interface Handover { readonly engine: string, readonly to: string }
 
 function countHeldEngines ({ entries, holders }: EngineAssignment): Map<string, number> {
@@ -25,15 +25,15 @@
 }
 
 /**
- * Says in which order entries claim engines that nobody orders.
+ * Decides in which sequence the entries claim each engine that has no holder.
  *
- * Who holds least goes first, so that the loss of one entry leaves few engines without orders.
- * By rendezvous order alone the entry that outlives a rolling restart ends with every engine; frozen then,
- * it leaves all of them without orders.
+ * Entries that hold the fewest engines come first, so that the loss of one entry leaves few engines without a holder.
+ * By rendezvous order alone, the entry that outlives a rolling restart ends up with every engine; if it is frozen then,
+ * no engine gets any orders.
  *
  * @param free - engines without a holder
  * @param assignment - entries and holders
- * @returns for each engine the entries, the first to claim it first; alike on all entries with the same view
+ * @returns for each engine the entries, the first one to claim it first; the same on all entries with the same view
  */
 export function claimSequences (free: readonly string[], assignment: EngineAssignment): ReadonlyMap<string, readonly string[]> {
   const counts = countHeldEngines(assignment)
@@ -47,19 +47,19 @@
   return sequences
 }
 
-/** Difference in engines held from which one is handed over; at 1 they would go back and forth. */
+/** Difference in engines held from which an entry hands one over. At 1, engines would move back and forth. */
 const minImbalance = 2
 
 /**
  * Finds the engine that an entry should hand over.
  *
- * Only the entry that holds most gives, and to the one that holds least: several givers at once
- * would leave the receiver with too many.
+ * Only the entry that holds the most engines hands one over, and to one that holds the fewest: with several entries
+ * handing over at once, the receiver would end up with too many.
  *
  * @param self - the entry that asks
- * @param assignment - entries that can take engines, and holders
- * @param mayMove - whether an engine may change hands now
- * @returns undefined when the engines are even, or somebody else has to give
+ * @param assignment - entries that can receive engines, and holders
+ * @param mayMove - whether an engine may change its holder now
+ * @returns undefined when the engines are evenly distributed, or when another entry has to hand one over
  */
 export function pickHandover (self: string, assignment: EngineAssignment, mayMove: (engine: string) => boolean): Handover | undefined {
   const ranked = [...countHeldEngines(assignment)].sort(([a, most], [b, least]) => least - most || (a < b ? -1 : 1))
@@ -71,29 +71,29 @@
   return engine === undefined ? undefined : { engine, to: rendezvousOrder(engine, receivers)[0]! }
 }
 
-/** Left over of a turn, for an order that was still on its way when its sender stopped ordering. */
+/** Added to the turn, for an order that was still on its way when its sender released the engine. */
 const holderTurnMargin: Ms = 300
 
 /**
- * Engines that an entry has ordered and does not any more.
+ * Engines that this entry has released, and may not claim again until a holder's turn is over.
  *
- * Two holders that order one engine in turn look to it like two that don't know of each other: first A, then B, then A
- * again. It shows as orders of A around one of B within a turn. Whoever has left an engine to another
- * therefore leaves it alone until the turn is over; a third entry may claim it at once.
+ * To an engine, two holders that send it orders by turns look like two entries that don't know of each other: it gets
+ * orders of A both before and after orders of B within one turn. So an entry that has released an engine does not claim
+ * it again until the turn is over. A third entry may claim it at once.
  *
- * A restart forgets this, and needs no more: an entry that is told to stop orders nothing from then on and still serves for
- * longer than most of a turn, and one that is killed finds its own keys.
+ * A restart forgets the releases, and needs them no more: an entry that is asked to stop sends no orders from then on
+ * and still serves for longer than most of a turn, and one that is killed finds its own lease keys.
  */
 export class ReclaimCooldown {
   private readonly _releasedAt = new Map<string, Ms>()
 
-  /** @param _holderTurn - ms within which two holders must not take turns */
+  /** @param _holderTurn - ms within which two holders must not send orders by turns */
   constructor (private readonly _holderTurn: Ms) {}
 
-  /** Notes that an engine is ordered no more by this entry. */
+  /** Records that this entry has released an engine. */
   left (engine: string, now: Ms): void { this._releasedAt.set(engine, now) }
 
-  /** Whether an engine that another may have ordered since can be claimed. */
+  /** Whether this entry may claim an engine of which another entry may have been the holder since. */
   mayReclaim (engine: string, now: Ms): boolean {
     const releasedAt = this._releasedAt.get(engine)
     if (releasedAt === undefined) return true
--- a/packages/decisions/src/lib/identify-caller.ts
+++ b/packages/decisions/src/lib/identify-caller.ts
@@ -1,16 +1,16 @@
 /**
- * Tells whose request it is.
+ * Identifies the caller of a request.
  */
 import { assertNever } from '@hazelford/core'
 import type { Credential, Organisation, Route } from '@hazelford/ports'
 import type { RouteTable } from './route-table.js'
 
-/** Why a request is nobody's. Logs and metrics name it. */
+/** Why a request can't be attributed to an organisation. Log fields and metrics carry it. */
 export type UnauthorisedCause = 'no-key' | 'unreadable-credential' | 'unknown-key'
 
-/** Whose request it is. */
+/** The caller of a request. */
 export type CallerIdentity =
-  /** No key is asked for, and none of an organisation was shown. */
+  /** No key is required, by the configuration or on a public route, and no key of an organisation is used. */
   | { readonly kind: 'anyone' }
   | { readonly kind: 'organisation', readonly organisation: Organisation }
   | { readonly kind: 'unauthorised', readonly cause: UnauthorisedCause }
@@ -28,12 +28,12 @@
 }
 
 /**
- * Tells whose request it is.
+ * Identifies the caller of a request.
  *
- * A public route needs no key. One that is shown there all the same says who pays for the request; one that is nobody's says
- * nothing.
+ * A public route requires no key. If a request to one shows the key of an organisation all the same, that organisation
+ * pays for it; a key of no organisation is ignored there.
  *
- * @param table - the configuration in force
+ * @param table - the configuration in effect
  * @param route - of the request
  * @param credential - what the request shows
  */
--- a/packages/decisions/src/lib/plan-messages.ts
+++ b/packages/decisions/src/lib/plan-messages.ts
@@ -1,5 +1,5 @@
 /**
- * Messages and effects of the decisions for one upstream.
+ * Messages and effects of the plan for one upstream.
  */
 import type { AdapterKey, FailureCode, Ms } from '@hazelford/core'
 import type { PlanRequest } from './wait-queue.js'
@@ -9,11 +9,11 @@
   readonly slots: number
   readonly places: number
   readonly queueLimit: number
-  /** How long drafts may wait for company when the engine is idle. */
+  /** Time for which drafts wait for other requests to share a batch with when the engine is idle. */
   readonly draftLinger: Ms
 }
 
-/** What happened. Every message carries the time at which it did. */
+/** An event. Every message carries the time at which it happened. */
 export type PlanMessage =
   | { readonly kind: 'arrive', readonly at: Ms, readonly request: PlanRequest }
   | { readonly kind: 'withdraw', readonly at: Ms, readonly id: string }
@@ -25,11 +25,11 @@
   | { readonly kind: 'slots-listed', readonly at: Ms, readonly loaded: readonly AdapterKey[] }
   | { readonly kind: 'limits', readonly at: Ms, readonly limits: PlanLimits }
   | { readonly kind: 'leave', readonly at: Ms }
-  /** A drain was ended: work is welcome again. */
+  /** The operator has ended a drain: the upstream accepts work again. */
   | { readonly kind: 'return', readonly at: Ms }
   | { readonly kind: 'tick', readonly at: Ms }
 
-/** What the task must do. */
+/** What the caller of the plan must do. */
 export type PlanEffect =
   | { readonly kind: 'start', readonly id: string }
   | { readonly kind: 'refuse', readonly id: string, readonly code: FailureCode, readonly retryAfter: Ms }
@@ -40,16 +40,16 @@
   | { readonly kind: 'list-slots' }
   | { readonly kind: 'wake', readonly after: Ms }
 
-/** What the sidecar reports to entries. */
+/** The sidecar's report to the entries. */
 export interface PlanReport {
   readonly running: number
   readonly queued: number
   readonly places: number
   readonly slots: number
   readonly adapters: readonly { readonly adapter: AdapterKey, readonly state: 'loading' | 'loaded', readonly pins: number }[]
-  /** Recent time of a load; 0 before the first. */
+  /** Moving average of the time of a load; 0 before the first. */
   readonly loadMs: Ms
   readonly loadsWaiting: number
-  /** Recent time of a request at the upstream; 0 before the first. */
+  /** Moving average of the time of a request at the upstream; 0 before the first. */
   readonly serviceMs: Ms
 }
--- a/packages/decisions/src/lib/prompt-throttle.ts
+++ b/packages/decisions/src/lib/prompt-throttle.ts
@@ -1,81 +1,85 @@
 /**
- * Lets prompts into one engine at the rate at which it reads them.
+ * Admits prompts to one engine at the rate at which the engine reads them.
  */
 import type { Ms } from '@hazelford/core'
 import { promptTokensPerMs } from './place-request.js'
 
-/** A request that waits to be let in. */
+/** A request that waits for admission. */
 export interface QueuedPrompt {
   readonly id: string
   readonly tokens: number
-  /** 0 is the most urgent. */
+  /** Priority; 0 is the most urgent. */
   readonly urgency: number
-  /** When its first event is due. */
+  /** Latest time at which its first event is in time. */
   readonly dueAt: Ms
 }
 
 /**
- * Part of an engine's time that prompts take while nobody would be late for it. Between two events
- * of eight tokens the streams that run there then wait for 240 ms; pauses of 300 ms are late. With 0.5
- * prompts waited 60 to 300 ms longer, and held their adapters' slots meanwhile, for no fewer pauses.
+ * Share of an engine's time that prompts take while no request would be late for it. Streams that run there then wait
+ * for 240 ms between two events of eight tokens; pauses of 300 ms are late. With 0.5 prompts waited 60 to 300 ms longer
+ * and kept their adapters' slots meanwhile, and no fewer streams paused too long.
  */
 const normalPromptShare = 0.65
-/** The part taken when prompts would be late otherwise: pauses come to 270 ms. */
+/** Share of an engine's time that prompts take when requests would be late otherwise: pauses come to 270 ms. */
 const maxPromptShare = 0.75
 /**
- * Prompt tokens that may be unread once a prompt is let in; a larger prompt waits until
- * nothing else is. Two prompts of usual size fit; with more, streams that run there pause for too long.
+ * Prompt tokens that may be unread after a prompt is admitted; a larger prompt waits until nothing else is unread. Two
+ * prompts of usual size fit. With more, streams that run there pause for too long.
  */
 const unreadLimit = 1_500
-/** Left over when it is worked out how fast prompts must be let in: steps and messages take some of it. */
+/**
+ * Margin in the computation of the rate at which prompts must be admitted: engine steps and messages take some of the
+ * time.
+ */
 const safetyMargin: Ms = 100
 /**
- * Part of the full rate up to which prompts go in the order of their due times. Beyond, somebody will
- * be late soon, and it must not be the urgent ones.
+ * Share of the highest rate up to which prompts are admitted in the order of their due times. Beyond it some requests
+ * will soon be late, and these must not be the urgent ones.
  */
 const feasibleShare = 0.7
-/** Within reach of their due times, a request goes ahead of a less urgent one that is due this much sooner. */
+/**
+ * While requests can still be in time, a request goes ahead of one of the next lower priority that is due sooner by up
+ * to this time.
+ */
 const urgencyLead: Ms = 200
-/** Bounds of the learned rate, as parts of the first guess. */
+/** Bounds of the learned speed, as multiples of the initial estimate. */
 const minSpeed = 0.5
 const maxSpeed = 3
 /**
- * A stream that paused too long slows the pacer by this part; one that did not speeds it up by less.
+ * A stream that paused too long lowers the learned speed by this share; one that did not raises it by a smaller one.
  * The two are in balance at three paused streams in a hundred.
  */
 const slowDownShare = 0.01
 const speedUpShare = 0.0003
-/** A ticket that nobody has asked about for this long is forgotten. */
+/** A prompt whose entry has not asked about it for this long is dropped. */
 const queuedPromptTtl: Ms = 1_500
-/** Time an engine takes from the last prompt token to the first event. */
+/** Time from the last prompt token that an engine reads to the first event. */
 const firstEventTime: Ms = 60
 
 interface WaitingPrompt extends QueuedPrompt { askedAt: Ms }
 
 /**
- * Paces prompts.
+ * Limits the rate of prompts.
  *
- * Answers bursts: requests come in clumps, an engine reads each prompt at once, and while it
- * reads, every stream that runs there stands still. A first event may come 800 ms after its
- * request, so a clump is spread over that time: as slowly as the due times of those who wait
- * allow, never so fast that streams pause for too long. At one fixed rate,
- * the largest that it can read, more of them are late at any load.
+ * Requests come in bursts. An engine reads each prompt at once, and while it reads, every stream that runs there stands
+ * still. A first event may come 800 ms after its request, so the throttle spreads a burst over that time: as slowly as
+ * the due times of the waiting requests allow, and never so fast that streams pause for too long. At one fixed rate,
+ * the largest that the engine can read, more requests are late at any load.
  *
- * While all can be on time, those that must start first go first. When they can't, urgent ones go
- * first, and those that will be late anyway go last: otherwise each is served in its turn and
- * all are late.
+ * While all requests can be in time, those that must start first go first. When they can't, urgent requests go first,
+ * and those that will be late anyway go last: served by age alone, all of them would be late.
  */
 export class PromptThrottle {
   private readonly _waiting = new Map<string, WaitingPrompt>()
-  /** What was learned of the engine, as part of the first guess. */
+  /** Learned speed of the engine, as a multiple of the initial estimate. */
   private _speed = 1
   private _rate = promptTokensPerMs * normalPromptShare
   private _unread = 0
   private _unreadSince: Ms = 0
-  /** Whether somebody who waits can't be on time at the full rate. */
+  /** Whether a waiting request can't be in time even at the highest rate. */
   private _isSaturated = false
 
-  /** Prompt tokens let in and not yet read, or waiting. */
+  /** Prompt tokens that are admitted and not yet read, or that wait for admission. */
   backlog (now: Ms): number {
     let waiting = 0
     for (const { tokens } of this._waiting.values()) waiting += tokens
@@ -84,14 +88,14 @@
 
   get waiting (): number { return this._waiting.size }
 
-  /** Tokens let in a ms while nobody would be late for it. */
+  /** Tokens admitted per ms while no request would be late for it. */
   get rate (): number { return promptTokensPerMs * normalPromptShare * this._speed }
 
   private get _maxRate (): number { return promptTokensPerMs * maxPromptShare * this._speed }
 
   private _unreadAt (now: Ms): number { return Math.max(0, this._unread - (now - this._unreadSince) * this._rate) }
 
-  /** Puts a request into the line; its place is by its due time, however often it comes. */
+  /** Queues a prompt. Its position depends on its due time, however often its entry asks. */
   enqueue (prompt: QueuedPrompt, now: Ms): void {
     const earlier = this._waiting.get(prompt.id)
     if (earlier === undefined) this._waiting.set(prompt.id, { ...prompt, askedAt: now })
@@ -99,17 +103,17 @@
   }
 
   /**
-   * Takes a request out of the line. One that is let in while nobody waits for it would be counted as
-   * read, and those behind it would wait for a prompt that never comes.
+   * Removes a request from the queue. If a request were admitted after its caller has left, its prompt would count as
+   * being read, and the requests behind it would wait for a prompt that never comes.
    */
   withdraw (id: string): void { this._waiting.delete(id) }
 
   /**
-   * Lets requests in.
+   * Admits requests.
    *
    * @param now - time
-   * @param batchSlots - requests that the engine can begin
-   * @returns their ids, in order
+   * @param batchSlots - requests that the engine can start
+   * @returns their ids, in order of admission
    */
   admit (now: Ms, batchSlots = Infinity): readonly string[] {
     this._dropAbandoned(now)
@@ -126,7 +130,7 @@
     return admitted
   }
 
-  /** When the next request can be let in; undefined when none waits. */
+  /** Time at which the next request can be admitted; undefined when none waits. */
   nextAdmissionAt (now: Ms): Ms | undefined {
     const [next] = this._admissionOrder(now)
     return next === undefined ? undefined : now + Math.max(0, this._unreadAt(now) - maxUnreadBefore(next.tokens)) / this._rate
@@ -156,7 +160,7 @@
 
   private _isLate ({ tokens, dueAt }: WaitingPrompt, now: Ms): boolean { return now + tokens / this._maxRate + firstEventTime > dueAt }
 
-  /** Tokens a ms at which all who can be on time are let in early enough. */
+  /** Tokens per ms at which all requests that can be in time are admitted early enough. */
   private _neededRate (queue: readonly WaitingPrompt[], now: Ms): number {
     let ahead = this._unreadAt(now)
     let needed = 0
@@ -176,13 +180,13 @@
   }
 
   /**
-   * Takes what entries saw of streams that ended here.
+   * Adjusts the learned speed by what entries report of streams that ended at this engine.
    *
-   * Streams without pauses say that the engine is faster than was guessed only while prompts come
-   * late: at any other time nothing is gained by reading faster, and the next clump would show.
+   * Streams without pauses show that the engine is faster than estimated only while requests are late. At any other
+   * time reading faster gains nothing, and the next burst would make streams pause.
    *
-   * @param streams - how many
-   * @param paused - how many of them paused longer than is on time
+   * @param streams - number of streams that ended
+   * @param paused - how many of them paused for longer than is in time
    */
   adjustSpeed (streams: number, paused: number): void {
     const change = (1 - slowDownShare) ** paused * (1 + speedUpShare) ** (streams - paused)
@@ -191,5 +195,5 @@
   }
 }
 
-/** Tokens that may be unread when a prompt is let in. */
+/** Prompt tokens that may be unread when a prompt is admitted. */
 function maxUnreadBefore (tokens: number): number { return Math.max(0, unreadLimit - tokens) }
--- a/packages/decisions/src/lib/relay-flow.ts
+++ b/packages/decisions/src/lib/relay-flow.ts
@@ -1,121 +1,124 @@
 /**
- * The life of one request that an entry sends to upstreams directly.
+ * Decisions for one request that an entry sends to upstreams directly, from its admission to its one answer.
  */
 import { assertNever, type Ms } from '@hazelford/core'
 
-/** Why a placed request was refused by its upstream. Each is a true "not run". */
+/** Why an upstream refused a placed request. After each of them the request certainly did not run. */
 export type UpstreamRefusal = 'full' | 'other-instance' | 'adapter-missing'
 
 /**
  * Why no upstream can take a request now.
  *
- * - `upstream-limit`: each names a limit on requests, which is used up.
- * - `upstream-rest`: each has turned this entry away and asked to be left alone for a while.
+ * - `upstream-limit`: every upstream has reported a request limit, which is used up.
+ * - `upstream-rest`: every upstream has refused this entry and asked it to back off for a while.
  */
 export type UnplacedCause = 'no-upstream' | 'adapter-unavailable' | 'upstream-limit' | 'upstream-rest'
 
-/** Why an entry gives a request up. Logs and metrics name it. */
+/** Why an entry gives up a request. Log fields and metrics carry it. */
 export type RelayFailure =
   | UnplacedCause | 'refused' | 'attempts-spent' | 'budget-spent'
   | 'lost' | 'timeout-unsent' | 'timeout-sent' | 'shutting-down' | 'quarantined'
-  /** The key was withdrawn while the request waited. */
+  /** The caller's key was withdrawn while the request waited. */
   | 'key-withdrawn'
 
-/** What happens to a request. */
+/** An event of a request. */
 export type RelayMessage =
-  /** An upstream can take it now. */
+  /** An upstream can take the request now. */
   | { readonly kind: 'placed', readonly upstream: string }
   | { readonly kind: 'unplaced', readonly cause: UnplacedCause }
   | { readonly kind: 'refused', readonly refusal: UpstreamRefusal }
-  /** No connection: nothing was sent. */
+  /** No connection was made, and nothing was sent. */
   | { readonly kind: 'unreachable' }
-  /** The connection broke or the upstream fell silent after bytes were sent. */
+  /** The connection broke, or the upstream became silent, after bytes were sent. */
   | { readonly kind: 'lost' }
-  /** The upstream has been silent for long, but may go on. */
+  /** The upstream has been silent for long, but may continue. */
   | { readonly kind: 'stalled' }
-  /** It went on while another one was looked for. */
+  /** The stalled upstream continued while another one was looked for. */
   | { readonly kind: 'moves-again' }
-  /** A whole answer is at hand; `failed` when it is the upstream's own error. */
+  /** A complete answer has arrived; `failed` when it is an error of the upstream itself. */
   | { readonly kind: 'whole', readonly failed: boolean }
-  /** The first bytes of a stream are at hand. */
+  /** The first bytes of a stream have arrived. */
   | { readonly kind: 'streaming' }
   | { readonly kind: 'stream-ended' }
   | { readonly kind: 'waited' }
   | { readonly kind: 'timeout' }
   | { readonly kind: 'caller-gone' }
-  /** Upstreams end under this request: it is held back from now on. */
+  /** The request is quarantined from now on: upstreams terminate while running it. */
   | { readonly kind: 'held' }
 
 /** What the entry must do. */
 export type RelayEffect =
-  /** Find an upstream outside `avoid`, or the one named by `again`. */
+  /** Find an upstream outside `avoid`, or use the one named by `retryUpstream`. */
   | { readonly kind: 'place', readonly avoid: ReadonlySet<string>, readonly retryUpstream?: string }
   | { readonly kind: 'send', readonly upstream: string }
-  /** Close the connection to the upstream, so that it stops work. */
+  /** Close the connection to the upstream, so that it stops working on the request. */
   | { readonly kind: 'abandon' }
   | { readonly kind: 'wait', readonly delay: Ms }
-  /** Keep the whole answer at hand: it is an error, and a better one may come. */
+  /** Keep the complete answer that has arrived: it is an error, and another upstream may give a better one. */
   | { readonly kind: 'hold' }
-  /** Pass the answer at hand on to the caller. */
+  /** Pass the answer that has arrived to the caller. */
   | { readonly kind: 'deliver' }
   | { readonly kind: 'finish' }
-  /** Nothing has gone to the caller: answer with an error. */
+  /** Nothing was sent to the caller: answer with an error. */
   | { readonly kind: 'fail', readonly failure: RelayFailure, readonly notRun: boolean }
-  /** Part of the answer has gone out: break it, so that it can't look whole. */
+  /** Part of the answer was sent to the caller: break the connection, so that the answer can't look complete. */
   | { readonly kind: 'break', readonly failure: RelayFailure }
   | { readonly kind: 'forget' }
 
-/** What bears on repeats. */
+/** Properties of a request that decide about retries. */
 export interface RelayRequest {
   readonly kind: 'read-only' | 'non-idempotent' | 'stream'
   readonly resumable: boolean
-  /** Upstreams that it may be sent to. */
+  /** Number of upstreams that the request may be sent to. */
   readonly maxAttempts: number
 }
 
-/** What the decisions ask of the entry. */
+/** What the decisions ask the entry for. */
 export interface RelayDeps {
-  /** Takes a repeat from the service's budget. */
+  /** Takes a retry from the service's budget; false when it is spent. */
   readonly takeRepeat: () => boolean
-  /** Whether the request's caller may still send it. */
+  /** Whether the caller may still send the request. */
   readonly isAllowed: () => boolean
-  /** Whether the request is held back, since upstreams end under it. */
+  /** Whether the request is quarantined, because upstreams terminate while running it. */
   readonly isQuarantined: () => boolean
 }
 
 /** Connections that may fail before a request is refused; nothing was sent on them. */
 const maxFailedConnections = 6
-/** Sends to the upstream that said its adapter isn't there yet: the load is a little late. */
+/**
+ * Retries at an upstream that refused the request for lack of its adapter, whose load ends a little later than
+ * expected.
+ */
 const maxAdapterMissingRetries = 3
-/** Pause before the same upstream is asked again; about a third of a reload from memory. */
+/** Pause before the request is sent to the same upstream again; about a third of a load from the host's memory. */
 const adapterRetryPause: Ms = 15
 
 type Effects = readonly RelayEffect[]
 
-/** What a request has been through. */
+/** Progress of a request. */
 class Progress {
   /** Upstreams that bytes of the request may have reached. */
   readonly tried = new Set<string>()
-  /** Upstreams that took no connection. */
+  /** Upstreams that accepted no connection. */
   readonly unreachable = new Set<string>()
   sends = 0
   missing = 0
   /** The upstream that has the request now. */
   current: string | undefined
-  /** An upstream that only lacked the adapter for a moment. */
+  /** The upstream to retry at, which lacked the adapter only for a moment. */
   retryUpstream: string | undefined
   /** Whether another upstream is looked for while the current one is silent. */
   stalled = false
   /** Whether an upstream may have worked on the request. */
   mayHaveRun = false
-  /** Whether part of an answer has gone to the caller. */
+  /** Whether part of an answer was sent to the caller. */
   begun = false
-  /** Whether the request is held back, and only its upstream may still answer it. */
+  /** Whether the request is quarantined, and only its current upstream may still answer it. */
   held = false
-  /** Whether an upstream's own error is at hand, to be delivered if nothing better comes. */
+  /** Whether an upstream's own error has arrived, to be delivered if no other upstream answers. */
   holdsError = false
 
-  /** Where not to go next. */
+  /** Upstreams that are excluded from the next placement. */
   get avoid (): ReadonlySet<string> { return new Set([...this.tried, ...this.unreachable]) }
 }
 
@@ -124,8 +127,8 @@
 }
 
 /**
- * Stops work that nobody waits for any more. A non-idempotent request that runs is left to
- * end: closing its connection would not undo it.
+ * Stops work at the upstream that no caller waits for. A non-idempotent request is left to run to its end: closing its
+ * connection would not undo it.
  */
 function abandon (request: RelayRequest, progress: Progress): Effects {
   return progress.current !== undefined && request.kind !== 'non-idempotent' ? [{ kind: 'abandon' }] : []
@@ -137,7 +140,7 @@
   return [{ kind: 'fail', failure, notRun: !progress.mayHaveRun }]
 }
 
-/** What a message leads to; `over` when the last effect is final. */
+/** Result of a message; `over` when the last effect is final. */
 interface Transition { readonly effects: Effects, readonly over: boolean }
 
 function continueWith (effects: Effects): Transition { return { effects, over: false } }
@@ -146,8 +149,8 @@
 /**
  * Looks for another upstream while the current one is silent.
  *
- * A full engine lets streams stand still and goes on with them. Cut off at once, one that found no place elsewhere was lost:
- * its caller got half an answer and a closed connection, though the engine would have gone on.
+ * A full engine pauses streams and continues them later. If the stream were cut off at once and no other upstream had
+ * room for it, its caller would get half an answer and a closed connection, although the engine would have continued.
  */
 function handleStalled (request: RelayRequest, progress: Progress): Transition {
   if (progress.stalled || progress.current === undefined || !isIdempotent(request) || progress.tried.size >= request.maxAttempts) return continueWith([])
@@ -155,7 +158,7 @@
   return continueWith([{ kind: 'place', avoid: progress.avoid }])
 }
 
-/** Leaves a silent upstream for one that can take the request now. */
+/** Moves the request from a silent upstream to one that can take it now. */
 function moveTo (upstream: string, progress: Progress, deps: RelayDeps): Transition {
   progress.stalled = false
   if (!deps.takeRepeat()) return continueWith([])
@@ -166,14 +169,14 @@
   return continueWith([{ kind: 'abandon' }, { kind: 'send', upstream }])
 }
 
-/** What is to be done next, where another upstream is being looked for already. */
+/** Removes the search for an upstream from a result, since one runs already. */
 function dropPlacing (next: Transition): Transition {
   return next.over ? next : continueWith(next.effects.filter(({ kind }) => kind !== 'place' && kind !== 'wait'))
 }
 
 function handlePlaced (upstream: string, request: RelayRequest, progress: Progress, deps: RelayDeps): Transition {
   if (progress.stalled) return moveTo(upstream, progress, deps)
-  // What has begun to run is finished, also elsewhere.
+  // A request that has started to run is finished, also at another upstream.
   if (progress.sends === 0 && !deps.isAllowed()) return endWith(giveUp(progress, 'key-withdrawn'))
   if (progress.sends > 0) {
     if (!progress.tried.has(upstream) && progress.tried.size >= request.maxAttempts) return endWith(giveUp(progress, 'attempts-spent'))
@@ -191,7 +194,7 @@
 }
 
 function handleUnreachable (upstream: string, progress: Progress): Transition {
-  // Nothing arrived there: neither the attempts nor the order of upstreams is touched.
+  // Nothing arrived there, so the attempt does not count and the upstream is not among those tried.
   progress.sends--
   progress.tried.delete(upstream)
   progress.unreachable.add(upstream)
@@ -209,15 +212,16 @@
 
 function handleLost (request: RelayRequest, progress: Progress): Transition {
   progress.mayHaveRun = true
-  // What has gone out of a plain answer can't be taken back, nor gone on with elsewhere.
+  // The part of a plain answer that was sent to the caller can't be withdrawn, nor continued at another upstream.
   if (!isIdempotent(request) || (progress.begun && request.kind !== 'stream')) return endWith(giveUp(progress, 'lost'))
   const next = placeElsewhere(request, progress, 'attempts-spent')
   return next.over ? next : continueWith([{ kind: 'abandon' }, ...next.effects])
 }
 
 function handleWhole (failed: boolean, request: RelayRequest, progress: Progress): Transition {
-  // A stream that goes on elsewhere can meet an answer of another kind, such as that upstream's own error.
-  // Part of the stream has gone out, so it can neither be delivered nor taken for the rest.
+  // A stream that continues at another upstream can get an answer of another kind there, such as that upstream's own
+  // error. Part of the stream was sent to the caller, so that answer can neither be delivered nor taken for the rest of
+  // the stream.
   if (progress.begun) return handleLost(request, progress)
   const deliver: Effects = [{ kind: 'deliver' }, { kind: 'finish' }]
   if (!failed || request.kind !== 'read-only' || progress.tried.size >= request.maxAttempts) return endWith(deliver)
@@ -234,10 +238,11 @@
 }
 
 /**
- * Ends a request that is held back, wherever it stands.
+ * Ends a request that is quarantined, in whatever state it is.
  *
- * One that waits would end the upstream that it waits for; one that an upstream has may not have begun to run, and then its
- * upstream is spared. One that can't be repeated is left to its upstream: if that answers, the answer is worth having.
+ * If it waits for an upstream, it would terminate that one. If an upstream has it, it may not have started to run, and
+ * withdrawing it spares that upstream. A non-idempotent request is left to its upstream: if that one answers, the
+ * answer is of use to the caller.
  */
 function handleQuarantined (request: RelayRequest, progress: Progress): Transition {
   progress.held = true
@@ -267,7 +272,7 @@
       return continueWith([{ kind: 'deliver' }])
     case 'stream-ended': return endWith([{ kind: 'finish' }])
   }
-  // The exchange is over; from here on the upstream has nothing of this request.
+  // The exchange has ended; the upstream works on nothing of this request any more.
   const isPlacing = progress.stalled
   progress.stalled = false
   progress.current = undefined
@@ -277,7 +282,7 @@
   return isPlacing ? dropPlacing(next) : next
 }
 
-/** What the end of an exchange leads to. */
+/** Handles the end of an exchange. */
 function handleExchangeEnd (msg: RelayMessage & { readonly kind: 'refused' | 'unreachable' | 'lost' | 'whole' }, upstream: string, request: RelayRequest, progress: Progress): Transition {
   switch (msg.kind) {
     case 'refused': return handleRefused(upstream, msg.refusal, request, progress)
@@ -291,12 +296,12 @@
 /**
  * Runs one request.
  *
- * At most one upstream works on it at any time. It goes to a further one only after a true
- * refusal, or when running twice does no harm.
+ * At most one upstream works on it at any time. It is sent to a further upstream only after a refusal that is certain,
+ * or when running it twice does no harm.
  *
- * @param request - what bears on repeats
- * @param deps - the budget
- * @returns takes messages, yields effects; ends after the one final effect
+ * @param request - properties that decide about retries
+ * @param deps - budget, access and quarantine
+ * @returns generator that takes messages and yields effects; it ends after the one final effect
  */
 export function * relayFlow (request: RelayRequest, deps: RelayDeps): Generator<Effects, void, RelayMessage> {
   const progress = new Progress()
--- a/packages/decisions/src/lib/request-flow.ts
+++ b/packages/decisions/src/lib/request-flow.ts
@@ -1,5 +1,5 @@
 /**
- * The life of one request at an entry, from its first attempt to its one answer.
+ * Decisions for one request at an entry with sidecars, from its first attempt to its one answer.
  */
 import { assertNever, failure, type Failure, type FailureCode, mayResend, type Ms, type Verdict } from '@hazelford/core'
 import { fullJitter } from './retry-budget.js'
@@ -13,11 +13,11 @@
 /** How an attempt ended at the sidecar. */
 export interface AttemptEnd {
   readonly verdict: Verdict
-  /** Undefined when the answer is whole. */
+  /** Undefined when the answer is complete. */
   readonly failure?: Failure
 }
 
-/** What happens to a request. */
+/** An event of a request. */
 export type FlowMessage =
   | { readonly kind: 'head', readonly head: AnswerHead }
   | { readonly kind: 'chunk', readonly data: Uint8Array }
@@ -34,29 +34,34 @@
   | { readonly kind: 'answer-head', readonly head: AnswerHead }
   | { readonly kind: 'answer-chunk', readonly data: Uint8Array }
   | { readonly kind: 'answer-end' }
-  /** Nothing was answered yet: an error response. */
+  /** Nothing was answered yet: send an error response. */
   | { readonly kind: 'fail', readonly failure: Failure }
-  /** The answer has begun: break it so that the caller notices. */
+  /** Part of the answer was sent: break it, so that the caller notices. */
   | { readonly kind: 'break', readonly failure: Failure }
   | { readonly kind: 'wait', readonly delay: Ms }
   | { readonly kind: 'forget' }
 
-/** What the decisions need to know of a request. */
+/** Properties of a request that the decisions depend on. */
 export interface FlowRequest {
   readonly idempotent: boolean
-  /** Answers with server-sent events go out as they come; others when whole. */
+  /**
+   * Whether the answer is passed on as it arrives, as server-sent events are; other answers are passed on when
+   * complete.
+   */
   readonly streamed: boolean
 }
 
-/** What the decisions ask of the entry. */
+/** What the decisions ask the entry for. */
 export interface FlowDeps {
-  /** Picks the upstream for the next attempt. */
+  /** Chooses the upstream for the next attempt. */
   readonly choose: (tried: ReadonlySet<string>) => string | undefined
   /** Whether an upstream that can't be reached now is likely to be back soon. */
   readonly mayComeBack: () => boolean
-  /** Takes a retry from the service's budget. */
+  /** Takes a retry from the service's budget; false when it is spent. */
   readonly takeRetry: () => boolean
-  /** Why the request is held back, since upstreams end under it; undefined when it is not. */
+  /**
+   * Failure of a request that is quarantined, because upstreams terminate while running it; undefined when it is not.
+   */
   readonly quarantineFailure: () => Failure | undefined
   /** Ms until the deadline. */
   readonly remaining: () => Ms
@@ -65,26 +70,29 @@
 
 const maxAttempts = 4
 const backoff = { base: 20, cap: 500 }
-/** Bytes of an unstreamed answer held back, so that a broken one can be retried. */
+/** Bytes of an unstreamed answer that are buffered, so that a broken answer can be retried. */
 const maxBufferedBytes = 256 * 1024
-/** Chunks held back; it must stay under the credit, or the sidecar would wait for ever. */
+/**
+ * Chunks that are buffered. It must be lower than the channel's flow-control credit, or the sidecar would wait for
+ * ever.
+ */
 const maxBufferedChunks = 32
-/** Pauses while every upstream is out of reach but one may come back. */
+/** Pauses while no upstream can be reached but one may come back. */
 const maxPauses = 20
 const reconnectPause: Ms = 100
 const noUpstreamRetryAfter: Ms = 1_000
 const deadlineRetryAfter: Ms = 500
 
-/** Refusals that say nothing of load: moving on from them costs no retry budget. */
+/** Refusals that are unrelated to load: a retry after one of them takes nothing from the retry budget. */
 const unbudgetedRetries: ReadonlySet<FailureCode> = new Set(['leaving'])
 
-/** Collects an answer until it is certain that it will be whole. */
+/** Buffers an answer until it is certain to be complete. */
 class BufferedAnswer {
   private _head: AnswerHead | undefined
   private _chunks: Uint8Array[] = []
   private _bytes = 0
 
-  /** Whether a byte has gone to the caller, after which no retry is possible. */
+  /** Whether a byte was sent to the caller, after which no retry is possible. */
   begun = false
 
   constructor (private readonly _streamed: boolean) {}
@@ -101,7 +109,7 @@
     return this._bytes > maxBufferedBytes || this._chunks.length >= maxBufferedChunks ? this.flush() : []
   }
 
-  /** Lets go of what is held. */
+  /** Passes the buffered part of the answer on. */
   flush (): readonly FlowEffect[] {
     if (this.begun || this._head === undefined) return []
     this.begun = true
@@ -124,7 +132,7 @@
   return [{ kind: answer.begun ? 'break' : 'fail', failure: cause }]
 }
 
-/** After the deadline the sidecar's word decides what the caller is told. */
+/** Failure after the deadline; it depends on the sidecar's verdict. */
 function deadlineFailure (end: AttemptEnd | undefined): Failure {
   const notRun = end !== undefined && end.verdict === 'not-run'
   return notRun
@@ -160,7 +168,7 @@
   }
 }
 
-/** One attempt, from its dispatch to its end; `worst` is the verdict of those before. */
+/** Runs one attempt, from its dispatch to its end; `worst` is the verdict of the earlier ones. */
 function * attempt (upstream: string, answer: BufferedAnswer, worst: Verdict): Generator<readonly FlowEffect[], AttemptResult, FlowMessage> {
   let effects: readonly FlowEffect[] = [{ kind: 'send', upstream }]
   for (;;) {
@@ -188,7 +196,7 @@
   }
 }
 
-/** Waits out a backoff. Nothing is dispatched meanwhile, so the request has not run. */
+/** Waits for a backoff to pass. Nothing is sent meanwhile, so the request does not run. */
 function * pause (delay: Ms): Generator<readonly FlowEffect[], 'go-on' | 'deadline' | 'caller-gone', FlowMessage> {
   let effects: readonly FlowEffect[] = [{ kind: 'wait', delay }]
   for (;;) {
@@ -206,12 +214,12 @@
 /**
  * Runs one request.
  *
- * There is at most one attempt at any time, and a further one only when the verdict
- * on the last allows it and no byte of an answer has gone out.
+ * There is at most one attempt at any time. A further one follows only when the verdict on the last attempt allows it
+ * and no byte of an answer was sent to the caller.
  *
- * @param request - what bears on retries
- * @param deps - choice, budget, time and chance
- * @returns takes messages, yields effects; ends after the one final effect
+ * @param request - properties that decide about retries
+ * @param deps - choice of upstreams, budget, time and randomness
+ * @returns generator that takes messages and yields effects; it ends after the one final effect
  */
 export function * requestFlow (request: FlowRequest, deps: FlowDeps): Generator<readonly FlowEffect[], void, FlowMessage> {
   const answer = new BufferedAnswer(request.streamed)
@@ -258,7 +266,7 @@
   }
 }
 
-/** Ends a request whose deadline or caller went while nothing was dispatched. */
+/** Ends a request whose deadline passed, or whose caller left, while no attempt was running. */
 function interruptedEffects (outcome: 'deadline' | 'caller-gone', answer: BufferedAnswer, worst: Verdict): readonly FlowEffect[] {
   if (outcome === 'caller-gone') return [{ kind: 'forget' }]
   return finalFailure(answer, correctVerdict(deadlineFailure({ verdict: 'not-run' }), worst))
@@ -274,8 +282,8 @@
 /**
  * Corrects the verdict for the whole request.
  *
- * An idempotent request may end with an attempt that did not run after one that may
- * have. Telling the caller `not-run` from the last attempt alone would be untrue.
+ * An idempotent request may end with an attempt that did not run after an earlier one that may have run. The verdict
+ * `not-run` of the last attempt alone would be false for the request.
  */
 function correctVerdict (cause: Failure, worst: Verdict): Failure {
   return cause.verdict === 'not-run' && worst !== 'not-run' ? { ...cause, verdict: 'may-have-run' } : cause
--- a/packages/decisions/src/lib/request-ledger.ts
+++ b/packages/decisions/src/lib/request-ledger.ts
@@ -1,30 +1,29 @@
 /**
- * What a sidecar remembers of the requests that one entry sent it.
+ * Requests that one entry has sent to a sidecar.
  */
 
-/** Whether a request frame may be taken. */
+/** Whether a request frame may be run. */
 export type LedgerVerdict = 'new' | 'duplicate' | 'withdrawn'
 
 const tombstoneLimit = 10_000
 
 /**
- * High-water mark and tombstones of one entry incarnation.
+ * High-water mark and tombstones of one incarnation of an entry.
  *
- * A frame can come twice when the entry re-sends after a reconnect, and a withdraw
- * can come before the frame it withdraws. Taking either frame would run a request
- * whose caller was told that it did not run.
+ * A frame can arrive twice when the entry sends it again after a reconnect, and a withdraw can arrive before the frame
+ * that it withdraws. Running either frame would run a request whose caller was answered that it did not run.
  */
 export class RequestLedger {
   private readonly _tombstones = new Set<number>()
   private _highest = 0
 
-  /** Highest request number taken; the entry re-sends what is above. */
+  /** Highest request number registered; after a reconnect the entry sends the frames above it again. */
   get highest (): number { return this._highest }
 
   /**
-   * Decides on a request frame.
+   * Registers a request frame.
    *
-   * @param seq - the entry's number, which grows from frame to frame
+   * @param seq - the entry's number of the frame, which increases from frame to frame
    */
   register (seq: number): LedgerVerdict {
     if (this._tombstones.delete(seq)) {
@@ -37,10 +36,10 @@
   }
 
   /**
-   * Notes a withdraw for a request that is not open here.
+   * Records a withdraw of a request that is not open here.
    *
    * @param seq - the request's number
-   * @returns whether the frame has not come yet, so that it is certain not to run
+   * @returns whether its frame has not arrived yet, so that the request certainly won't run
    */
   recordWithdrawal (seq: number): boolean {
     if (seq <= this._highest) return false
@@ -50,8 +49,8 @@
   }
 
   private _forgetOldest (): void {
-    // Forgetting a tombstone alone would let its late frame run. Raising the mark
-    // refuses it as a duplicate instead; the entry then re-sends under a new number.
+    // Dropping only the tombstone would let its late frame run. Raising the high-water mark refuses that frame as a
+    // duplicate instead; the entry then sends the request again under a new number.
     const oldest = Math.min(...this._tombstones)
     this._tombstones.delete(oldest)
     this._highest = Math.max(this._highest, oldest)
--- a/packages/decisions/src/lib/request-quarantine.ts
+++ b/packages/decisions/src/lib/request-quarantine.ts
@@ -1,50 +1,51 @@
 /**
- * Which requests are not run any more, since upstreams end under them.
+ * Quarantines requests under which upstreams terminate.
  */
 import type { Ms } from '@hazelford/core'
 
-/** When a request is held back, and for how long. */
+/** Limits from which a request is quarantined, and for how long. */
 export interface QuarantineLimits {
-  /** Ends of upstreams under a request after which it is held back. */
+  /** Terminations of upstreams while running a request after which it is quarantined. */
   readonly after: number
-  /** Ms for which it is held back. */
+  /** Ms for which the request is quarantined. */
   readonly holdTime: Ms
 }
 
-/** The end of an upstream while it had a request. */
+/** The termination of an upstream while it had a request. */
 export interface UpstreamTermination {
   readonly upstream: string
   readonly at: Ms
 }
 
 /**
- * Ends of one upstream closer to each other than this are one: several entries tell of it, each as it saw it. A process that
- * ended takes longer than this to be back.
+ * Terminations of one upstream that are closer to each other than this are one: several entries report it, each at the
+ * time at which it noticed. A process that has terminated takes longer than this to restart.
  */
 const sameTerminationWithin: Ms = 1_000
 /**
- * Bounds of memory, some 200 bytes each: a hundred upstreams that end with thirty requests each, and the requests that one entry
- * answers in the minute before.
+ * Bounds on memory, at some 200 bytes a record. They cover a hundred upstreams that terminate with thirty requests
+ * each, and the requests that one entry answers within a minute.
  */
 const maxTerminationRecords = 3_000
 const maxAnsweredRecords = 1_000
 const maxQuarantined = 1_000
 
 /**
- * Ms that a request may have been answered at an upstream to be suspect when that ends. A request that ends its upstream does so as
- * it begins to run: 22 to 273 ms after it was sent there and before its first event, at ten ends in logs of five entries.
- * Some margin is for slow upstreams. Streams last seconds: of 173 answers lost at those ends some 64 were no suspects by this.
+ * Longest time, in ms, for which a request may have received data from an upstream and still be the likely cause of its
+ * termination. A request that terminates its upstream does so as it starts to run: 22 to 273 ms after it was sent there
+ * and before its first event, in ten terminations seen by five entries. The margin is for slow upstreams. Streams last
+ * seconds: of 173 answers lost in those terminations, some 64 were ruled out by this limit.
  */
 const maxAnsweredBeforeTermination: Ms = 1_000
 
 /**
- * Whether a request may have ended its upstream.
+ * Whether a request may have caused the termination of its upstream.
  *
- * @param answeredFor - ms from the first to the last data that came of it there; 0 when none did
+ * @param answeredFor - ms from the first to the last data of it that came from there; 0 when none did
  */
 export function mayHaveCausedTermination (answeredFor: Ms): boolean { return answeredFor <= maxAnsweredBeforeTermination }
 
-/** Forgets the oldest entries of a map beyond a bound. */
+/** Deletes the oldest entries of a map beyond a bound. */
 function evictOldest (map: Map<string, unknown>, most: number): void {
   for (const oldest of map.keys()) {
     if (map.size <= most) return
@@ -53,42 +54,46 @@
 }
 
 /**
- * Counts the upstreams that ended under each request.
+ * Counts the terminations of upstreams while running each request.
  *
- * A request can end every upstream that begins to run it. Its caller repeats it, and so do entries; each attempt takes an
- * upstream with it, and all that ran there. That goes on for as long as its caller
- * comes back. What else had just begun at those upstreams is suspect too, but was there by chance: it is
- * nearly always answered before it is at a third end.
+ * A request can terminate every upstream that starts to run it. Its caller repeats it and entries retry it; each
+ * attempt terminates one more upstream, with all requests that run there, for as long as the caller repeats it. Other
+ * requests that had just started at those upstreams are counted too. They were there by chance, and are nearly always
+ * answered before they are at a third termination.
  *
- * Requests are named by what they ask, since each attempt has an id of its own.
+ * A request is identified by its content, since each attempt has an id of its own.
  */
 export class RequestQuarantine {
   private readonly _terminations = new Map<string, readonly UpstreamTermination[]>()
-  /** Requests held back, and until when; kept for one more hold time, in which they are on probation. */
+  /**
+   * Quarantined requests and the end of their quarantine; kept for one more hold time, in which they are on probation.
+   */
   private readonly _quarantinedUntil = new Map<string, Ms>()
-  /** Requests answered whole, and when. */
+  /** Requests that were answered completely, and when. */
   private readonly _answered = new Map<string, Ms>()
 
   constructor (private _limits: QuarantineLimits) {}
 
-  /** Changes the limits; what is held stays held. */
+  /** Changes the limits; requests that are quarantined stay so. */
   limit (limits: QuarantineLimits): void { this._limits = limits }
 
   get holdTime (): Ms { return this._limits.holdTime }
 
   /**
-   * Notes that an upstream ended while it had a request.
+   * Records that an upstream terminated while it had a request.
    *
-   * A request that was answered lately is no suspect: what ends upstreams is never answered. Without this a check that
-   * all callers send would be held back once three upstreams ended of another cause. One that was held back and ends one more
-   * upstream afterwards is held back again at once.
+   * A request that was answered recently is not counted: requests that terminate upstreams are never answered.
+   * Otherwise a health check that all callers send would be quarantined after three upstreams have terminated for
+   * another reason. A request that was quarantined and then terminates one more upstream during its probation is
+   * quarantined again at once.
    *
-   * @returns whether so many upstreams have ended under the request that it should be held back, and is not yet
+   * @returns whether so many upstreams have terminated while running the request that it should be quarantined, and is
+   * not yet
    */
   recordTermination (request: string, termination: UpstreamTermination, now: Ms): boolean {
     if (this._isQuarantined(request, now) || this.wasAnsweredRecently(request, now)) return false
     const quarantinedUntil = this._probationSince(request, now)
-    // Word of what led to the hold may still come after it.
+    // Reports of the terminations that led to the quarantine may still arrive after it.
     if (termination.at < quarantinedUntil) return false
     const known = (this._terminations.get(request) ?? []).filter(({ at }) => this._isWithin(at, now) && at >= quarantinedUntil)
     const isKnown = known.some(({ upstream, at }) => upstream === termination.upstream && Math.abs(at - termination.at) < sameTerminationWithin)
@@ -99,13 +104,13 @@
     return terminations.length >= (quarantinedUntil === -Infinity ? this._limits.after : 1)
   }
 
-  /** Upstreams that ended under a request. */
+  /** Upstreams that terminated while running a request. */
   terminatedUpstreams (request: string): readonly string[] { return (this._terminations.get(request) ?? []).map(({ upstream }) => upstream) }
 
-  /** Whether a request was answered whole within the hold time. */
+  /** Whether a request was answered completely within the hold time. */
   wasAnsweredRecently (request: string, now: Ms): boolean { return this._isWithin(this._answered.get(request), now) }
 
-  /** Notes that a request was answered whole. */
+  /** Records that a request was answered completely. */
   recordAnswered (request: string, now: Ms): void {
     this._terminations.delete(request)
     this._quarantinedUntil.delete(request)
@@ -115,9 +120,9 @@
   }
 
   /**
-   * Holds a request back, unless it was answered here lately.
+   * Quarantines a request, unless it was answered here recently.
    *
-   * @returns whether it is held and was not before
+   * @returns whether it is quarantined now and was not before
    */
   hold (request: string, now: Ms): boolean {
     if (this._isQuarantined(request, now) || this.wasAnsweredRecently(request, now)) return false
@@ -128,20 +133,21 @@
   }
 
   /**
-   * Whether a request is held back.
+   * Whether a request is quarantined.
    *
-   * Asking for it does not prolong that: a sound request that many callers send, blamed by chance, would be refused for ever.
+   * A repeated request does not prolong its quarantine. Otherwise a harmless request that many callers send,
+   * quarantined by chance, would be refused for ever.
    */
   holds (request: string, now: Ms): boolean { return this._isQuarantined(request, now) }
 
-  /** Requests held back, with the time until which they are. */
+  /** Quarantined requests with the end of their quarantine. */
   held (now: Ms): ReadonlyMap<string, Ms> {
     return new Map([...this._quarantinedUntil].filter(([, until]) => until > now))
   }
 
   private _isQuarantined (request: string, now: Ms): boolean { return (this._quarantinedUntil.get(request) ?? -Infinity) > now }
 
-  /** When the hold of a request on probation ended; -Infinity for one that is not. */
+  /** End of the quarantine of a request on probation; -Infinity for a request that is not. */
   private _probationSince (request: string, now: Ms): Ms {
     const until = this._quarantinedUntil.get(request)
     return until !== undefined && this._isWithin(until, now) ? until : -Infinity
--- a/packages/decisions/src/lib/retry-budget.ts
+++ b/packages/decisions/src/lib/retry-budget.ts
@@ -1,16 +1,16 @@
 /**
- * Bounds retries to a share of first attempts.
+ * Limits retries to a share of first attempts.
  */
 import type { Ms } from '@hazelford/core'
 
 const burst = 10
 
 /**
- * Token bucket filled by first attempts.
+ * Token bucket that first attempts fill.
  *
- * When a zone fails, every request there fails. Retrying all of them multiplies the
- * load on the zones that are left, which then fail too. The signature is a retry rate
- * that grows with the failure rate; a bucket keeps it under a fixed share.
+ * When an availability zone fails, every request there fails. Retrying all of them multiplies the load on the remaining
+ * zones, which then fail too: the rate of retries grows with the rate of failures. The bucket keeps retries under a
+ * fixed share.
  */
 export class RetryBudget {
   private _tokens = burst
@@ -18,12 +18,16 @@
   /** @param _share - retries allowed per first attempt, such as 0.1 */
   constructor (private readonly _share: number) {}
 
-  /** Notes a first attempt. */
+  /** Counts a first attempt. */
   firstAttempt (): void {
     this._tokens = Math.min(burst, this._tokens + this._share)
   }
 
-  /** Takes a retry from the budget. */
+  /**
+   * Takes a retry from the budget.
+   *
+   * @returns false when the budget is spent
+   */
   takeRetry (): boolean {
     if (this._tokens < 1) return false
     this._tokens--
--- a/packages/decisions/src/lib/route-table.ts
+++ b/packages/decisions/src/lib/route-table.ts
@@ -26,7 +26,7 @@
       if (routes === undefined) this._byHost.set(host, [route])
       else routes.push(route)
     }
-    // The longest prefix wins, so the first match in this order is the route.
+    // The longest prefix takes precedence, so the first match in this sequence is the route.
     for (const routes of this._byHost.values()) routes.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length)
     for (const service of config.services) this._services.set(service.name, service)
     for (const organisation of this.organisations) for (const key of organisation.keys) this._byKey.set(key, organisation)
@@ -48,21 +48,21 @@
 
   service (name: string): ServiceSpec | undefined { return this._services.get(name) }
 
-  /** Those whose keys are asked for; none where anyone may send. */
+  /** Organisations whose keys give access; empty when any caller may send requests. */
   get organisations (): readonly Organisation[] {
     const { access } = this.config
     return access.kind === 'by-key' ? access.organisations : []
   }
 
-  /** The organisation that has a key. */
+  /** The organisation to which a key belongs. */
   organisationOf (key: KeyDigest): Organisation | undefined { return this._byKey.get(key) }
 }
 
 /**
- * Chooses the service of a split route.
+ * Chooses the service of a route that splits its traffic.
  *
- * @param route - whose weights count
- * @param requestId - the same id always goes the same way
+ * @param route - route with its weights
+ * @param requestId - requests of the same id go to the same service
  */
 export function pickService (route: Route, requestId: string): string | undefined {
   if (route.targets.length <= 1) return route.targets[0]?.service
--- a/packages/decisions/src/lib/sequencer.ts
+++ b/packages/decisions/src/lib/sequencer.ts
@@ -1,30 +1,30 @@
 /**
- * Puts numbered items into order and drops those seen before.
+ * Delivers numbered items in order and drops duplicates.
  */
 
-/** What became of an offered item. */
+/** Outcome of an offered item. `held`: kept until the items before it have arrived. */
 export type SequencerVerdict = 'delivered' | 'held' | 'duplicate' | 'overflow'
 
 /**
- * Delivers items 0, 1, 2, ... once each, whatever order they come in.
+ * Delivers items 0, 1, 2, ... once each, in whatever order they arrive.
  *
- * Chunks of an answer can come late, twice or out of order after a reconnect. A
- * caller would see text doubled or swapped; the numbers make that impossible.
+ * After a reconnect, chunks of an answer can arrive late, twice or out of order. Passed on as they arrive, the caller
+ * would read doubled or swapped text; the numbers rule that out.
  */
 export class Sequencer<T> {
   private readonly _held = new Map<number, T>()
   private _next = 0
 
   /**
-   * @param _deliver - takes each item in order
-   * @param _window - how far ahead of the next item one may be held
+   * @param _deliver - receives each item in order
+   * @param _window - how far ahead of the next item one may be kept
    */
   constructor (private readonly _deliver: (item: T) => void, private readonly _window: number) {}
 
-  /** How many items were delivered, which is also the number of the next one. */
+  /** Number of delivered items, which is also the number of the next one. */
   get delivered (): number { return this._next }
 
-  /** Whether an item after the next one has come: something in between is late. */
+  /** Whether a later item has arrived before the next one. */
   get hasGap (): boolean { return this._held.size > 0 }
 
   /**
--- a/packages/decisions/src/lib/shared-retry-budget.ts
+++ b/packages/decisions/src/lib/shared-retry-budget.ts
@@ -1,20 +1,20 @@
 /**
- * One process's part of a retry budget that all entries share.
+ * One entry's part of a retry budget that all entries share.
  */
 import type { Ms } from '@hazelford/core'
 
-/** The bound on repeats to one service, summed over all entries. */
+/** Limit on the retries of requests to one service, summed over all entries. */
 export interface SharedBudgetLimits {
-  /** Repeats allowed for each request. */
+  /** Retries allowed for each request. */
   readonly ratio: number
-  /** Repeats allowed on top in each window. */
+  /** Retries allowed on top in each window. */
   readonly slack: number
   readonly window: Ms
 }
 
 /**
- * Share of the allowance that is used. Windows slide and the entries' clocks and views
- * of each other differ, so the sum of full shares would at times pass the bound.
+ * Share of the allowance that an entry uses. Windows slide, and the entries' clocks and views of each other differ, so
+ * the sum of full allowances would at times exceed the limit.
  */
 const usedShare = 0.8
 
@@ -36,12 +36,11 @@
 }
 
 /**
- * Bounds repeats to a share of this entry's own requests and its part of the slack.
+ * Limits retries to a share of this entry's own requests and its part of the slack.
  *
- * When a zone fails, every request there fails. Repeating all of them multiplies the load
- * on the upstreams that are left, which then fail too. Entries can't ask each other before
- * each repeat, so each keeps within what it may use alone: the sum then keeps within the
- * bound, since requests are counted once, by the entry that takes them.
+ * When an availability zone fails, every request there fails. Retrying all of them multiplies the load on the remaining
+ * upstreams, which then fail too. Entries can't ask each other before each retry, so each stays within what it may use
+ * alone. The sum then stays within the limit, since each request is counted once, by the entry that receives it.
  */
 export class SharedRetryBudget {
   private readonly _requests = new EventWindow()
@@ -49,13 +48,13 @@
 
   constructor (private _limits: SharedBudgetLimits) {}
 
-  /** Changes the bound; what was spent stays spent. */
+  /** Changes the limit; retries that were taken stay counted. */
   limit (limits: SharedBudgetLimits): void { this._limits = limits }
 
   request (now: Ms): void { this._requests.add(now) }
 
   /**
-   * Takes one repeat.
+   * Takes one retry from the budget.
    *
    * @param now - time
    * @param entries - entries that share the slack, at least 1
--- a/packages/decisions/src/lib/slot-table.ts
+++ b/packages/decisions/src/lib/slot-table.ts
@@ -1,27 +1,27 @@
 /**
- * What the engine's adapter slots hold, and who uses them.
+ * The adapter slots of one engine, and the requests that use them.
  */
 import type { AdapterKey, Ms } from '@hazelford/core'
 
 /**
- * State of a slot.
+ * State of an adapter slot.
  *
- * - `unknown`: an unload was ordered and its reply lost; the engine must be asked.
+ * - `unknown`: the reply to an unload order was lost; the engine must be asked whether the adapter is still loaded.
  */
 export type SlotState = 'loading' | 'loaded' | 'unloading' | 'unknown'
 
-/** One slot in use. */
+/** One adapter slot in use. */
 export interface Slot {
   readonly adapter: AdapterKey
   state: SlotState
-  /** Requests from admission to their last byte. */
+  /** Requests that use the adapter, from admission to their last byte. */
   pins: number
-  /** Takes no further request, so that it empties for another adapter. */
+  /** Whether the slot accepts no further request, so that it becomes free for another adapter. */
   closing: boolean
   lastUsed: Ms
 }
 
-/** The slots of one engine. */
+/** The adapter slots of one engine. */
 export class SlotTable {
   private readonly _slots = new Map<AdapterKey, Slot>()
 
@@ -31,7 +31,7 @@
 
   all (): readonly Slot[] { return [...this._slots.values()] }
 
-  /** Begins to fill a slot. */
+  /** Occupies a slot for a load that starts. */
   startLoad (adapter: AdapterKey, at: Ms): void {
     this._slots.set(adapter, { adapter, state: 'loading', pins: 0, closing: false, lastUsed: at })
   }
@@ -47,7 +47,7 @@
   /**
    * Marks an adapter as used by one more request.
    *
-   * @returns the slot, which the request must give to {@link SlotTable.unpin}
+   * @returns the slot, which the request must pass to {@link SlotTable.unpin}
    */
   pin (adapter: AdapterKey, at: Ms): Slot | undefined {
     const slot = this._slots.get(adapter)
@@ -58,26 +58,26 @@
   }
 
   /**
-   * Takes back the pin of one request.
+   * Removes the pin of one request.
    *
-   * By slot, not by adapter: after an engine restart the adapter may have been loaded
-   * anew, and a request that hung since before would take a pin from the requests that
-   * use the new slot, which could then be evicted under them.
+   * The pin belongs to the slot, not to the adapter. After an engine restart the adapter may have been loaded anew. A
+   * request that hung since before would otherwise remove a pin of the requests that use the new slot, which could then
+   * be evicted while they run.
    */
   unpin (slot: Slot): void { slot.pins-- }
 
   /**
-   * Picks the slot whose adapter is worth least.
+   * Picks the slot whose adapter has the lowest value.
    *
-   * @param worth - higher is kept longer
+   * @param worth - value of a slot; higher values are kept longer
    * @returns an unpinned loaded slot, or undefined when all are in use
    */
   victim (worth: (slot: Slot) => number): Slot | undefined {
     let worst: Slot | undefined
     let least = Infinity
     for (const slot of this._slots.values()) {
-      // An adapter that a request uses must not go: the engine would answer the rest
-      // of that request from the base model, or fail it in the middle.
+      // An adapter that a request uses must stay loaded. Otherwise the engine would answer the rest of that request
+      // from the base model, or fail it in the middle.
       if (slot.state !== 'loaded' || slot.pins > 0) continue
       const value = worth(slot)
       if (value >= least) continue
--- a/packages/decisions/src/lib/store-role.ts
+++ b/packages/decisions/src/lib/store-role.ts
@@ -1,30 +1,33 @@
 /**
- * Decides which entries watch the store and which hear of it from those.
+ * Decides which entries watch the store and which follow those that do.
  */
 import { rendezvousOrder } from './rendezvous.js'
 
-/** An entry as all entries list it. */
+/** An entry as it is listed for all entries. */
 export interface ListedEntry {
   readonly node: string
-  /** Undefined for an entry of a version that does not say. */
+  /** Availability zone; undefined for an entry of a version that does not report it. */
   readonly zone?: string
 }
 
-/** How an entry hears of changes in the store. */
+/** How an entry learns of changes in the store. */
 export type StoreRole =
-  /** `served`: whether others hear of them from this one. */
+  /** `hasFollowers`: whether other entries learn of changes from this one. */
   | { readonly kind: 'watch', readonly watchers: number, readonly hasFollowers: boolean }
-  /** `from`: watchers, the one to ask first at the front. */
+  /** `watchersToAsk`: the entries that watch the store, the first one to ask first. */
   | { readonly kind: 'follow', readonly watchersToAsk: readonly string[] }
 
 /**
- * Entries up to which each watches by itself. What watching costs grows with their number; for a few it is little,
- * and each hears the store without another one's help.
+ * Number of entries up to which each of them watches the store itself. The cost of watching grows with their number.
+ * For a few entries it is low, and none depends on another one.
  */
 const allWatchUpTo = 8
-/** Entries of one availability zone for each of its watchers: with 68 entries in six zones each has two. */
+/** Entries of one availability zone per watcher there: with 68 entries in six zones, each zone has two watchers. */
 const entriesPerWatcher = 8
-/** Makes the watchers of a zone others than the first in any other order of the same nodes. */
+/**
+ * Rendezvous key of the election, so that the watchers of a zone are independent of other rendezvous orders of the same
+ * nodes.
+ */
 const electionKey = 'store-watch'
 
 function watchersOf (nodes: readonly string[]): readonly string[] {
@@ -38,14 +41,15 @@
 }
 
 /**
- * Decides an entry's part. All that list the same entries decide alike; those that don't differ for as long as their lists do,
- * and then more watch, or somebody is asked who follows and says how old its news is.
+ * Decides an entry's role towards the store. All entries with the same list of entries decide alike. Entries with
+ * different lists may differ for as long as the lists do: more of them watch then, or a follower is asked, which
+ * reports the age of its view.
  *
- * Answers the load of many entries at the store, which counts each call: nearly all
- * were watches of the same changes.
+ * The store counts each call, and with many entries nearly all calls would be watches of the same changes; this bounds
+ * their number.
  *
  * @param self - the entry
- * @param entries - all of them
+ * @param entries - all entries
  */
 export function storeRole (self: string, entries: readonly ListedEntry[]): StoreRole {
   const own = entries.find(({ node }) => node === self)
@@ -54,6 +58,6 @@
   const otherZones: string[] = []
   for (const [zone, nodes] of byZone(entries)) (zone === (own.zone ?? '') ? sameZone : otherZones).push(...watchersOf(nodes))
   if (sameZone.includes(self)) return { kind: 'watch', watchers: sameZone.length + otherZones.length, hasFollowers: true }
-  // Followers of one zone spread over its watchers; one of another zone is the last resort.
+  // The followers of a zone are spread over its watchers; watchers of other zones are the last resort.
   return { kind: 'follow', watchersToAsk: [...rendezvousOrder(self, sameZone), ...rendezvousOrder(self, otherZones)] }
 }
--- a/packages/decisions/src/lib/upstream-health.ts
+++ b/packages/decisions/src/lib/upstream-health.ts
@@ -1,35 +1,34 @@
 /**
- * What an entry makes of the answers of one upstream.
+ * Health of one upstream, as one entry judges it by the upstream's answers.
  */
 import type { Ms } from '@hazelford/core'
 import { MovingAverage } from './moving-average.js'
 
 /**
- * How one exchange went.
+ * Outcome of one exchange.
  *
  * - `unreachable`: no connection.
- * - `lost`: the connection broke or fell silent after the request was sent.
- * - `refused`: the upstream said that it is full or leaving; it lives.
- * - `error`: a whole answer with a status of 500 or more.
+ * - `lost`: the connection broke or became silent after the request was sent.
+ * - `refused`: the upstream answered that it is full or leaving; it is running.
+ * - `error`: a complete answer with a status of 500 or more.
  */
 export type ExchangeOutcome = 'answered' | 'unreachable' | 'lost' | 'refused' | 'error'
 
 /** Failures in a row after which an upstream gets no new requests for a while. */
 const ejectAfter = 2
-/** First ejection; a crashed upstream is back or gone within a few of these. */
+/** Duration of the first ejection; a crashed upstream is back or gone within a few of these. */
 const ejectBase: Ms = 500
 const ejectCap: Ms = 4_000
 /**
- * Share of failures above which an upstream is ejected though some answers are good.
- * Applications answer a few requests in a hundred with errors of their own; one that
- * fails a third of them is ill.
+ * Share of failures above which an upstream is ejected although some answers are good. Applications answer a few
+ * requests in a hundred with errors of their own; one that fails a third of them is faulty.
  */
 const ejectShare = 0.3
 const minSamples = 8
 /** Weight of one outcome in the share of failures: about the last ten count. */
 const shareWeight = 0.1
 
-/** Ejects an upstream that fails, and lets it back step by step. */
+/** Ejects an upstream that fails, for longer each time, and readmits it afterwards. */
 export class UpstreamHealth {
   private readonly _failureShare = new MovingAverage(0, shareWeight)
   private readonly _latency = new MovingAverage(0, 0.1)
@@ -38,28 +37,28 @@
   private _ejections = 0
   private _ejectedUntil: Ms = -Infinity
 
-  /** Smoothed ms to the first byte of an answer; 0 before the first. */
+  /** Moving average of the ms to the first byte of an answer; 0 before the first answer. */
   get latency (): Ms { return this._latency.measured }
 
   get failureShare (): number { return this._failureShare.measured }
 
-  /** Whether it should get new requests while others can have them. */
+  /** Whether the upstream should get new requests while others can take them. */
   accepts (now: Ms): boolean { return now >= this._ejectedUntil }
 
   /**
-   * Notes how an exchange went.
+   * Records the outcome of an exchange.
    *
    * @param outcome - as seen by this entry
    * @param now - time
    * @param latency - ms to the first byte, for an answer
-   * @returns whether the upstream was ejected by it
+   * @returns whether the upstream was ejected for it
    */
   note (outcome: ExchangeOutcome, now: Ms, latency?: Ms): boolean {
     if (latency !== undefined) this._latency.add(latency)
     const failed = outcome !== 'answered' && outcome !== 'refused'
     this._samples++
     this._failureShare.add(failed ? 1 : 0)
-    // An error is an answer: the upstream lives, and only a high share of errors counts.
+    // An error is an answer, so the upstream is running; only a high share of errors ejects it.
     this._failuresInRow = outcome === 'unreachable' || outcome === 'lost' ? this._failuresInRow + 1 : 0
     if (outcome === 'answered' && this._failureShare.measured < ejectShare / 2) this._ejections = 0
     const isFailing = this._samples >= minSamples && this._failureShare.measured > ejectShare && failed
--- a/packages/decisions/src/lib/upstream-notices.ts
+++ b/packages/decisions/src/lib/upstream-notices.ts
@@ -1,20 +1,20 @@
 /**
- * What is known of an upstream's own word on the requests that it takes.
+ * What an upstream reports in its notices: its request limit, whether it leaves, and its backoff.
  */
 import type { Ms } from '@hazelford/core'
 import type { UpstreamNotice } from '@hazelford/ports'
 
-/** A word on an upstream's request limit. */
+/** An upstream's notice of its request limit. */
 export interface LimitNotice {
-  /** Requests a second from all entries together; undefined for none. */
+  /** Requests per second of all entries together; undefined for no limit. */
   readonly rate: number | undefined
-  /** Since when it is known to hold. */
+  /** Time as of which the limit is known to apply. */
   readonly at: Ms
-  /** Whether the upstream has named a limit at any time. */
+  /** Whether the upstream has ever reported a limit. */
   readonly everNamed: boolean
 }
 
-/** What changed by an answer. */
+/** A change by an answer's notice. `rest`: the upstream asks this entry to back off for `lasts` ms. */
 export type NoticeChange =
   | { readonly kind: 'limit', readonly rate: number | undefined, readonly before: number | undefined }
   | { readonly kind: 'leaving' }
@@ -26,26 +26,27 @@
   private _leaving = false
   private _backoffUntil: Ms = -Infinity
 
-  /** The latest word on its limit. */
+  /** The latest notice of its limit. */
   get limit (): LimitNotice { return this._limit }
 
-  /** Whether it has said that it leaves; nothing takes that back. */
+  /** Whether it has reported that it leaves; this is never withdrawn. */
   get leaving (): boolean { return this._leaving }
 
-  /** Until when it wants nothing from this entry. */
+  /** Time until which it has asked this entry to back off. */
   get backoffUntil (): Ms { return this._backoffUntil }
 
   /**
-   * Takes the notice of an answer.
+   * Applies the notice of an answer.
    *
-   * @param notice - as the answer says
-   * @param sentAt - when the answer was asked for
+   * @param notice - the notice in the answer
+   * @param sentAt - when the request of the answer was sent
    * @param now - time
    * @returns what it changes
    */
   note ({ rateLimit, leaving, backoff: rest }: UpstreamNotice, sentAt: Ms, now: Ms): readonly NoticeChange[] {
     const changes: NoticeChange[] = []
-    // An answer without a limit may have been on its way since before the limit was named.
+    // An answer without a limit may have been sent before the upstream reported its limit, so it counts as of its
+    // request.
     const limit = this.recordLimit({ rate: rateLimit, at: rateLimit === undefined ? sentAt : now })
     if (limit !== undefined) changes.push(limit)
     if (leaving && this.recordLeaving()) changes.push({ kind: 'leaving' })
@@ -56,7 +57,7 @@
     return changes
   }
 
-  /** @returns whether that is news */
+  /** @returns whether this was not known before */
   recordLeaving (): boolean {
     const isNew = !this._leaving
     this._leaving = true
@@ -64,9 +65,9 @@
   }
 
   /**
-   * Takes a word on its limit, unless a newer one is known.
+   * Applies a notice of its limit, unless a newer one is known.
    *
-   * @returns what it changes, if anything
+   * @returns the change, if any
    */
   recordLimit ({ rate, at }: Omit<LimitNotice, 'everNamed'>): NoticeChange & { readonly kind: 'limit' } | undefined {
     if (at <= this._limit.at) return undefined
--- a/packages/decisions/src/lib/upstream-plan.ts
+++ b/packages/decisions/src/lib/upstream-plan.ts
@@ -1,5 +1,5 @@
 /**
- * The decisions for one upstream: who runs, who waits, what loads, what goes.
+ * Decisions for one upstream: which requests run or wait, and which adapters are loaded or unloaded.
  */
 import { type AdapterKey, assertNever, classRank, type FailureCode, type Ms } from '@hazelford/core'
 import { DecayedCounter } from './decayed-counter.js'
@@ -14,10 +14,10 @@
 const initialServiceMs: Ms = 200
 const loadBackoff: BackoffLimits = { base: 500, cap: 10_000 }
 const minRetryAfter: Ms = 100
-/** One start in so many goes to whoever waits longest, so that no class starves. */
+/** One start in this many goes to the oldest request, so that no traffic class starves. */
 const picksPerOldest = 4
 
-/** How long a request of each rank waits for a pinned slot before one is closed for it. */
+/** Ms that a request of each rank waits for a pinned slot before one is closed for it. */
 const closeSlotAfter: readonly Ms[] = [250, 1_000, 3_000]
 
 interface LoadFailures { readonly count: number, readonly retryAt: Ms }
@@ -27,8 +27,8 @@
 /**
  * State and rules of one upstream.
  *
- * Drive it through {@link planUpstream}, or call {@link UpstreamPlan.handle} where a
- * generator is unhandy. It does no I/O and reads no clock: messages carry the time.
+ * It is driven through {@link planUpstream}, or by calls of {@link UpstreamPlan.handle} where a generator is
+ * impractical. It does no I/O and reads no clock: messages carry the time.
  */
 export class UpstreamPlan {
   private readonly _waiting = new WaitQueue()
@@ -47,12 +47,12 @@
   private _wakeAt = Infinity
 
   /**
-   * @param _limits - slots, places and queue limit
+   * @param _limits - adapter slots, batch slots (`places`) and queue limit
    * @param _random - uniform in [0, 1), for jitter
    */
   constructor (private _limits: PlanLimits, private readonly _random: () => number) {}
 
-  /** Load and slots, for the heartbeat. */
+  /** Report of the load and the adapter slots, for the heartbeat. */
   report (): PlanReport {
     const held = this._slots.all().filter(slot => !slot.closing)
     return {
@@ -68,14 +68,14 @@
     }
   }
 
-  /** Whether nothing runs and nothing waits. */
+  /** Whether no request runs or waits. */
   get idle (): boolean { return this._running.size === 0 && this._waiting.size === 0 }
 
   /**
-   * Takes one message.
+   * Handles one message.
    *
    * @param msg - what happened
-   * @returns what to do about it, in order
+   * @returns effects to perform, in order
    */
   handle (msg: PlanMessage): readonly PlanEffect[] {
     this._effects = []
@@ -120,8 +120,8 @@
       if (failed !== undefined && failed.retryAt > now) return this._refuse(request.id, 'load-failed', failed.retryAt - now)
     }
     const expected = this._expectedWait(request, now)
-    // A request that cannot start before its deadline would only take a place in the
-    // queue from one that can. Refusing it at once keeps goodput up under overload.
+    // A request that can't start before its deadline would only take a place in the queue from one that can. Refusing
+    // it at once keeps the goodput up under overload.
     if (now + expected > request.deadlineAt) return this._refuse(request.id, 'overloaded', expected)
     this._waiting.add(request)
     if (this._waiting.size > this._limits.queueLimit) this._refuse(this._waiting.last()!.id, 'overloaded', expected)
@@ -150,7 +150,7 @@
     if (ran) this._serviceMs.add(now - running.since)
   }
 
-  /** The engine lacks an adapter that the table shows: it was restarted. */
+  /** The engine lacks an adapter that the slot table shows as loaded: the engine was restarted. */
   private _notLoaded (id: string, now: Ms): void {
     const running = this._running.get(id)
     if (running === undefined) return
@@ -182,7 +182,7 @@
     const count = (this._failures.get(adapter)?.count ?? 0) + 1
     const wait = minRetryAfter + fullJitter(count, loadBackoff, this._random)
     this._failures.set(adapter, { count, retryAt: now + wait })
-    // Those who wait are told now: another sidecar may hold the adapter already.
+    // Waiting requests are refused at once: another sidecar may have the adapter loaded.
     for (const request of this._waiting.of(adapter)) this._refuse(request.id, 'load-failed', wait)
   }
 
@@ -190,8 +190,8 @@
     const slot = this._slots.get(adapter)
     if (slot === undefined || slot.state !== 'unloading') return
     if (outcome === 'unloaded') return this._slots.drop(adapter)
-    // The engine may or may not have unloaded it. Serving from it could fail, and
-    // counting its slot as free could overfill the engine; only a listing tells.
+    // The engine may or may not have unloaded the adapter. Requests sent to it could fail, and counting its slot as
+    // free could load more adapters than the engine has slots for; only a list of the loaded adapters settles it.
     slot.state = 'unknown'
     this._effects.push({ kind: 'list-slots' })
   }
@@ -212,7 +212,7 @@
 
   private _leave (): void {
     this._leaving = true
-    // What waits has not run, so another upstream can have it at once.
+    // Waiting requests have not run, so another upstream can take them at once.
     for (const request of this._waiting.all()) this._refuse(request.id, 'leaving', minRetryAfter)
   }
 
@@ -236,14 +236,14 @@
     }
   }
 
-  /** Whether a draft waits for company: an idle engine would run it alone. */
+  /** Whether a draft waits for other requests to share a batch with: an idle engine would run it alone. */
   private _lingers (request: PlanRequest, now: Ms): boolean {
     if (request.trafficClass !== 'draft' || this._running.size > 0) return false
     if (this._waiting.size >= this._limits.places) return false
     return now < request.arrivedAt + this._limits.draftLinger
   }
 
-  /** Adapters that requests wait for and that are not on their way, most urgent first. */
+  /** The most urgent waiting request of each adapter that is neither loaded nor being loaded. */
   private _adaptersToLoad (): readonly PlanRequest[] {
     return this._waiting.adapters()
       .filter(adapter => this._slots.get(adapter) === undefined)
@@ -267,8 +267,8 @@
       this._effects.push({ kind: 'load', adapter: next.adapter! })
       return
     }
-    // A receipt that comes while a draft's permit is awaited must not wait in the
-    // draft's place: the wish is renewed with its rank.
+    // A receipt that arrives while a draft's permit is awaited must not wait with the draft's rank, so the permit is
+    // requested again with the receipt's.
     const rank = classRank(next.trafficClass)
     if (this._permitRequested && rank >= this._requestedRank) return
     this._permitRequested = true
@@ -277,8 +277,8 @@
   }
 
   /**
-   * Order of loads: class, then how many requests one load serves, then age. All loads
-   * cost the same, so serving the most waiting first gives the least waiting in sum.
+   * Order of loads: traffic class, then the number of requests that one load serves, then age. All loads cost the same,
+   * so serving the most requests first gives the shortest wait in total.
    */
   private _compareLoads (a: PlanRequest, b: PlanRequest): number {
     return classRank(a.trafficClass) - classRank(b.trafficClass) ||
@@ -292,7 +292,7 @@
     this._effects.push({ kind: 'return-permit' })
   }
 
-  /** Whether a slot is free; if not, begins to free one. */
+  /** Whether an adapter slot is free; if not, starts to free one. */
   private _makeRoom (next: PlanRequest, now: Ms): boolean {
     if (this._slots.size < this._limits.slots) return true
     const busy = this._slots.all().some(slot => slot.state === 'unloading' || slot.state === 'unknown')
@@ -307,7 +307,7 @@
     return false
   }
 
-  /** Requests wait on it and could start: it is as good as pinned. */
+  /** Whether requests wait for the adapter and could start: the slot is kept as if it were pinned. */
   private _isAwaited (slot: Slot): boolean {
     return !slot.closing && this._waiting.of(slot.adapter).length > 0
   }
@@ -319,10 +319,10 @@
   }
 
   /**
-   * Closes the least popular slot when one has waited long for room.
+   * Closes the least popular adapter slot when a request has waited long for a free one.
    *
-   * Adapters with steady traffic are always pinned. Without this, a request for
-   * another adapter would wait until its deadline while every slot stays in use.
+   * Adapters with steady traffic are always pinned. Otherwise a request for another adapter would wait until its
+   * deadline while every slot stays in use.
    */
   private _closeSlotFor (next: PlanRequest, now: Ms): void {
     const longestWait = closeSlotAfter[classRank(next.trafficClass)]!
@@ -337,7 +337,7 @@
     if (this._wakeAt <= now) this._wakeAt = Infinity
   }
 
-  /** Asks to be woken for the next deadline, linger or backoff. */
+  /** Requests a wake-up for the next deadline, or the next end of a draft's linger or of a wait for a pinned slot. */
   private _scheduleWake (now: Ms): void {
     let next = Infinity
     for (const request of this._waiting.all()) {
@@ -356,7 +356,7 @@
  * Runs a plan as a generator.
  *
  * @param plan - the state
- * @returns takes a message, yields the effects to perform
+ * @returns generator that takes a message and yields the effects to perform
  */
 export function * planUpstream (plan: UpstreamPlan): Generator<readonly PlanEffect[], void, PlanMessage> {
   let effects: readonly PlanEffect[] = []
--- a/packages/decisions/src/lib/upstream-view.ts
+++ b/packages/decisions/src/lib/upstream-view.ts
@@ -1,14 +1,13 @@
 /**
- * What an entry knows of one upstream: the sidecar's last report, corrected by what
- * the entry itself has sent since.
+ * One upstream as an entry sees it: the sidecar's last report, corrected by what the entry itself has sent since.
  */
 import type { AdapterKey, Ms } from '@hazelford/core'
 import type { PlanReport } from './plan-messages.js'
 
 /**
- * Whether the entry may send new work.
+ * State of an upstream, which decides whether the entry may send it new requests.
  *
- * - `suspect`: heartbeats are missing; nothing is known of its requests.
+ * - `suspect`: heartbeats are missing; the state of its requests is unknown.
  */
 export type UpstreamState = 'serving' | 'leaving' | 'cold' | 'suspect'
 
@@ -16,9 +15,9 @@
   running: 0, queued: 0, places: 1, slots: 1, adapters: [], loadMs: 500, loadsWaiting: 0, serviceMs: 200
 }
 
-/** How long an upstream is ramped up after a cold start. */
+/** Duration of the slow start of an upstream after a cold start. */
 const slowStartMs: Ms = 5_000
-/** Most channels that break are back within this time. */
+/** Time within which most broken channels are connected again. */
 const reconnectWindowMs: Ms = 2_000
 const ejectAfterFailures = 5
 const ejectMs: Ms = 3_000
@@ -27,7 +26,7 @@
 export class UpstreamView {
   private _state: UpstreamState = 'suspect'
   private _suspectSince: Ms = -Infinity
-  /** Set from the configuration or the host list; overrides the sidecar's word. */
+  /** Set from the configuration or the host list; overrides the state that the sidecar reports. */
   barred = false
   private _report: PlanReport = emptyReport
   private _adapters = new Map<AdapterKey, 'loading' | 'loaded'>()
@@ -44,12 +43,12 @@
   get report (): PlanReport { return this._report }
 
   /**
-   * Takes a heartbeat.
+   * Applies a heartbeat.
    *
-   * @param state - the sidecar's own word
+   * @param state - the state that the sidecar reports
    * @param report - its load; its adapters count only if they changed
    * @param now - time of this view's clock
-   * @param sameAdapters - the adapters are those of the last report
+   * @param sameAdapters - whether the adapters are those of the last report
    */
   update (state: 'serving' | 'leaving' | 'cold', report: PlanReport, now: Ms, sameAdapters = false): void {
     if (state === 'serving' && this._state !== 'serving') this._servingSince = now
@@ -60,27 +59,30 @@
     this._sentSince = 0
   }
 
-  /** The channel is down or silent: no new work, and no word on what is open there. */
+  /**
+   * Marks the upstream as suspect: its channel is down or silent, so it gets no new requests, and the state of its open
+   * ones is unknown.
+   */
   suspect (now: Ms): void {
     if (this._state !== 'suspect') this._suspectSince = now
     this._state = 'suspect'
   }
 
-  /** Whether it fell silent so recently that a reconnect is likely. */
+  /** Whether it became silent so recently that a reconnect is likely. */
   mayComeBack (now: Ms): boolean {
     return this._state === 'suspect' && !this.barred && now - this._suspectSince < reconnectWindowMs
   }
 
   /**
-   * Notes a dispatch of this entry. Reports are late: until the next one, an entry
-   * that ignored its own dispatches would send everything to the same upstream.
+   * Records that this entry has sent a request. Reports are late: an entry that ignored its own requests until the next
+   * report would send everything to the same upstream.
    */
   sent (adapter: AdapterKey | undefined): void {
     this._sentSince++
     if (adapter !== undefined && !this._adapters.has(adapter)) this._adapters.set(adapter, 'loading')
   }
 
-  /** Notes how a request ended; five upstream failures in a row eject it for a while. */
+  /** Records the end of a request; five upstream failures in a row eject the upstream for a while. */
   ended (failed: boolean, now: Ms): void {
     this._failuresInRow = failed ? this._failuresInRow + 1 : 0
     if (this._failuresInRow < ejectAfterFailures) return
@@ -88,7 +90,7 @@
     this._failuresInRow = 0
   }
 
-  /** Whether new work may go here. */
+  /** Whether the upstream may get new requests. */
   accepts (now: Ms): boolean {
     return this._state === 'serving' && !this.barred && now >= this._ejectedUntil
   }
@@ -97,7 +99,7 @@
     return this._adapters.get(adapter) ?? 'absent'
   }
 
-  /** Requests running or queued there, own dispatches since the report included. */
+  /** Requests running or queued there, including those that this entry has sent since the report. */
   get load (): number { return this._report.running + this._report.queued + this._sentSince }
 
   /**
@@ -110,7 +112,7 @@
     return over <= 0 ? 0 : over / this._report.places * serviceMs
   }
 
-  /** Share of full traffic this upstream should get while it warms up, 0 to 1. */
+  /** Share of full traffic that this upstream should get while it warms up, 0 to 1. */
   warmth (now: Ms): number {
     return Math.min(1, 0.1 + (now - this._servingSince) / slowStartMs)
   }
--- a/packages/decisions/src/lib/usage-allocator.ts
+++ b/packages/decisions/src/lib/usage-allocator.ts
@@ -1,80 +1,92 @@
 /**
- * Lends an account's usage to the entries that ask for it.
+ * Allocates an account's usage to the entries that ask for it.
  */
 import type { Ms } from '@hazelford/core'
 import type { UsageLimit } from '@hazelford/ports'
 
-/** How much of something an account may use: units a second, and units at once on top. */
+/** Limit on the usage of an account: units per second, and units at once on top. */
 export type CreditLimit = Pick<UsageLimit, 'rate' | 'burst'>
 
-/** What an entry says of one account. Amounts are in the limit's unit. */
+/** An entry's report on one account. Amounts are in the limit's unit. */
 export interface UsageRow {
   readonly account: string
-  /** Lent to it and not used. */
+  /** Credit that the entry was granted and has not used. */
   readonly holding: number
-  /** What the first request that waits there needs beyond its holding; 0 when none waits. */
+  /** What the first waiting request there needs beyond the entry's credit; 0 when none waits. */
   readonly first: number
-  /** What all need that wait there, beyond its holding. */
+  /** What all waiting requests there need beyond the entry's credit. */
   readonly waiting: number
-  /** What it wants on top, for those that it expects until it asks again. */
+  /** What the entry asks for on top, for the requests that it expects until its next report. */
   readonly ahead: number
-  /** What it gives back, which its holding has no more. */
+  /** Credit that the entry returns; `holding` excludes it. */
   readonly returned: number
 }
 
-/** What an entry says of the accounts whose requests it takes. */
+/** An entry's report on the accounts whose requests it receives. */
 export interface UsageReport {
   readonly entry: string
-  /** Ms since its last report, to whichever keeper, or since its process started. */
+  /** Ms since its last report to any allocator, or since its process started. */
   readonly covers: Ms
   readonly rows: readonly UsageRow[]
 }
 
-/** What a keeper lends. */
+/** What an allocator grants to an entry. */
 export interface UsageGrant {
   readonly account: string
   readonly granted: number
-  /** Ms until all who wait anywhere could be lent what they need; 0 when they were here. */
+  /** Ms until all requests that wait at any entry could be granted what they need; 0 when those of this entry were. */
   readonly wait: Ms
 }
 
-/** How far sums over a window may pass a limit. */
+/** How far the usage within a window may exceed a limit. */
 export interface UsageBounds {
   readonly window: Ms
-  /** Part of the window's usage by which it may be passed. */
+  /** Share of the window's usage by which the limit may be exceeded. */
   readonly overage: number
   /** Units on top, in the limit's unit. */
   readonly slack: number
 }
 
-/** What a keeper must know besides the report. */
+/** What an allocator must know besides the report. */
 export interface AllocatorContext {
   readonly bounds: UsageBounds
   readonly now: Ms
-  /** Entries that are listed. */
+  /** Number of listed entries. */
   readonly entries: number
-  /** Undefined where nothing limits an account. */
+  /** Undefined for an account without a limit. */
   readonly limitOf: (account: string) => CreditLimit | undefined
 }
 
 /**
- * Age at which an entry's word counts no more. It may ask another keeper by then, and what it holds has lapsed.
+ * Age at which an entry's report expires. The entry may report to another allocator by then, and its credit has
+ * expired.
  */
 export const reportTtl: Ms = 1_500
-/** Longest time that one report covers: after a long silence nobody has used what would have come meanwhile. */
+/**
+ * Longest time that one report covers: after a longer silence, no entry has used the credit that would have accrued.
+ */
 const maxCoveredTime: Ms = 1_000
-/** Parts of the allowed overage and slack that may be used at once; what is left of them is for what two keepers lend at one moment. */
+/**
+ * Shares of the allowed overage and slack that may be used at once; the rest covers what two allocators grant at the
+ * same time.
+ */
 const overageAtOnce = 0.45
 const slackAtOnce = 0.7
-/** Part of the overage that is spread over the window: an account that floods then uses all of its limit, not a little less. */
+/**
+ * Share of the overage that is spread over the window, so that an account that exceeds its limit can use all of the
+ * limit, not a little less.
+ */
 const overageSpread = 0.25
-/** Part of a limit's burst that can be used at once, at least. */
+/** Least share of a limit's burst that can be used at once. */
 const minBurstShare = 0.5
-/** Age up to which an entry's word tells how much waits until each has asked again. */
+/** Age up to which an entry's report counts for what waits: each entry has reported again by then. */
 const waitingReportTtl: Ms = 500
-/** Part of a bucket that is lent to requests that wait only: ahead of need, it would lie unused at some entries while others refuse. */
+/**
+ * Share of a bucket that is granted only to waiting requests. Granted ahead of need, it would lie unused at some
+ * entries while others refuse requests.
+ */
 const reservedShare = 0.5
-/** Above an equal part, so that a bucket that refills is not left half full. */
+/** Factor on an entry's proportional share, so that a bucket that refills is not left half full. */
 const levelShareFactor = 1.5
 
 interface EntryReport { readonly holding: number, readonly waiting: number, readonly at: Ms }
@@ -84,15 +96,15 @@
   private readonly _reports = new Map<string, EntryReport>()
   private _level = 0
   private _cap = 0
-  /** Time by which it was refilled last, see {@link UsageAllocator}. */
+  /** Covered time at the last refill, see {@link UsageAllocator}. */
   private _covered: Ms = 0
 
   /**
-   * Adds what has come since, up to a cap that includes what entries hold: not used yet, it could still be used in one
-   * moment with all that is here.
+   * Adds the credit that has accrued, up to a cap that includes the credit at the entries: that is not used yet, and
+   * could be used in one moment together with the credit here.
    *
    * @param covered - time that reports have covered
-   * @param least - what one request needs: one larger than the cap would never be let in
+   * @param least - what one request needs: a request larger than the cap would never be admitted
    */
   refill (rate: number, cap: number, least: number, covered: Ms, now: Ms): void {
     const room = Math.max(least, cap - this._outstanding(now))
@@ -116,7 +128,7 @@
     return sum
   }
 
-  /** Lends what waits first, then what is wanted ahead. */
+  /** Grants credit for waiting requests first, then credit ahead of need. */
   grant (entry: string, row: UsageRow, rate: number, now: Ms): Omit<UsageGrant, 'account'> {
     const { holding, waiting, ahead, returned } = row
     this._level += returned
@@ -132,24 +144,25 @@
   }
 
   /**
-   * While there is enough for all who wait, each gets what it needs. When not, each its part, and no less than the first
-   * request needs: in pieces, credit would lie unused at each entry while none can use it.
+   * Credit for an entry's waiting requests. While there is enough for all waiting requests, each entry gets what it
+   * needs. When there is not, each gets its share, and no less than its first request needs: in smaller pieces, credit
+   * would lie unused at each entry while none can admit a request.
    */
   private _forWaiting ({ first, waiting }: UsageRow, now: Ms): number {
     const all = this._waiting(now)
     if (this._level >= all) return waiting
     if (first > this._level) return 0
-    // Parts of a unit would lie unused at each entry, and what entries hold takes room in the bucket.
+    // Fractions of a unit would lie unused at each entry, and credit at the entries takes room in the bucket.
     return Math.floor(Math.min(waiting, this._level, Math.max(first, levelShareFactor * this._level * waiting / all)))
   }
 }
 
 /**
- * How a limit is lent: at what rate, and how much at once.
+ * Rate at which a limit is granted, and the most that is granted at once.
  *
- * What may be used in a window is the rate for all of it, and the burst. Lent at once, the burst is gone in a moment, and
- * who asks for a little more than the rate all the time is refused though the window's sum allows it. So it is
- * spread over the window, as far as the allowed overage is large enough to stand for it.
+ * The usage allowed in a window is the rate over all of it, and the burst. Granted at once, the burst is used up in a
+ * moment; an account that then continually uses a little more than the rate is refused although the window's sum allows
+ * it. So the burst is spread over the window, as far as the allowed overage is large enough to replace it.
  */
 function grantTerms ({ rate, burst }: CreditLimit, { window, overage, slack }: UsageBounds): { readonly rate: number, readonly most: number } {
   const over = overage * (rate * window / 1_000 + burst)
@@ -159,22 +172,23 @@
 }
 
 /**
- * Counts the usage of accounts for the entries that report to it.
+ * Allocates the usage of accounts to the entries that report to it.
  *
- * Each limit holds over all entries, and no entry sees all requests. One keeper lends credit ahead of need; an entry then
- * decides alone, with no message a request. Entries that can't reach the keeper ask the next one in an order that all
- * share, at last themselves. So several may lend at a time, and none can know of the others. Each report brings its keeper
- * one entry's part of the rate, for the time since that entry's last report; whoever an entry reports to, each part is lent
- * once. A keeper begins with empty buckets, since the one before it may have lent everything a moment ago.
+ * Each limit applies to all entries together, and no entry sees all requests. One allocator grants credit ahead of
+ * need, so that an entry decides alone, without a message per request. Entries that can't reach the allocator ask the
+ * next one in a sequence that all share, and finally themselves, so several allocators may grant at a time without
+ * knowing of each other. Each report brings its allocator the entry's part of the rate, for the time since that entry's
+ * last report. Whichever allocator an entry reports to, each part is granted once. An allocator starts with empty
+ * buckets, since the previous one may have granted everything a moment ago.
  */
 export class UsageAllocator {
-  /** When each entry was heard. */
+  /** Time of each entry's last report. */
   private readonly _reportedAt = new Map<string, Ms>()
   private readonly _buckets = new Map<string, Bucket>()
   /** Time for which entries have brought their parts of all rates. */
   private _covered: Ms = 0
 
-  /** Takes an entry's report and lends it what can be lent. */
+  /** Applies an entry's report and grants it the credit that is available. */
   report ({ entry, covers, rows }: UsageReport, context: AllocatorContext): readonly UsageGrant[] {
     this._recordReport(entry, context.now)
     const entries = Math.max(1, context.entries, this._reportedAt.size)
@@ -190,7 +204,7 @@
     })
   }
 
-  /** Forgets accounts that have no limit any more. */
+  /** Deletes accounts that have no limit any more. */
   forget (isFree: (account: string) => boolean): void {
     for (const account of [...this._buckets.keys()]) if (isFree(account)) this._buckets.delete(account)
   }
--- a/packages/decisions/src/lib/usage-pool.ts
+++ b/packages/decisions/src/lib/usage-pool.ts
@@ -1,70 +1,70 @@
 /**
- * Credit of one account that an entry was lent.
+ * Credit of one account that an entry was granted.
  */
 import { elapsed, type Instant, type Ms } from '@hazelford/core'
 import { DecayedCounter } from './decayed-counter.js'
 import { type UsageGrant, type UsageRow, reportTtl } from './usage-allocator.js'
 
-/** Whether a request's usage can be had. */
+/** Whether there is credit for a request. */
 export type SpendResult =
   | { readonly kind: 'spent' }
-  /** The keeper must be asked. */
+  /** The allocator must be asked. */
   | { readonly kind: 'short' }
-  /** The keeper was asked, and has some soon. */
+  /** The allocator was asked, and will have credit soon. */
   | { readonly kind: 'held', readonly retryAfter: Ms }
-  /** The keeper has said that there is none for now. */
+  /** The allocator has answered that it has no credit for now. */
   | { readonly kind: 'closed', readonly retryAfter: Ms }
 
-/** Time for which credit is wanted ahead of need. */
+/** Time for which credit is asked for ahead of need. */
 const aheadTime: Ms = 700
-/** Part of what is wanted ahead below which more is asked for. */
+/** Share of the credit wanted ahead below which more is asked for. */
 const lowShare = 0.5
-/** Above what is wanted ahead by this factor, the rest is given back. */
+/** Credit beyond this multiple of what is wanted ahead is returned. */
 const surplusFactor = 2
 const demandHalfLife: Ms = 700
 /**
- * Longest wait for which a request is held, not refused: a bucket that is empty for a moment only. A caller who is
- * refused comes back no sooner.
+ * Longest wait for which a request is kept waiting, not refused: for a bucket that is empty for a moment only. A caller
+ * that is refused comes back no sooner.
  */
 const maxCreditWait: Ms = 150
 /**
- * The same just after the start of a process. All entries may have started, and then all buckets are empty and all callers
- * come back together; what they ask for can be had within about a second.
+ * The same just after the start of a process. All entries may have started together; then all buckets are empty and all
+ * callers return at once, and the credit that they need accrues within about a second.
  */
 const maxCreditWaitAtStart: Ms = 800
 const startPeriod: Ms = 3_000
 /**
- * Shortest time for which a keeper's word counts that it has none. Asked by each request anew, the keeper of an
- * account that is far over its limit would get a message a request.
+ * Shortest time for which the allocator's answer that it has no credit is relied on. Otherwise each request would ask
+ * anew, and the allocator of an account that is far over its limit would get a message per request.
  */
 const minExhaustedTime: Ms = 100
-/** What is lent lapses before its keeper stops counting it. */
+/** Time after which granted credit expires, shortly before its allocator stops counting it. */
 const creditTtl: Ms = reportTtl - 300
-/** Key of the one counter: what is asked for here, granted or not. */
+/** Key of the only counter: what requests ask for here, granted or not. */
 const demandKey = 'asked'
 
 /** One account's credit at one entry. */
 export class UsagePool {
   private _available = 0
-  /** Of the last report that was answered, when it was sent. */
+  /** Time at which the last answered report was sent. */
   private _confirmedAt: Instant | undefined
-  /** Until when the keeper need not be asked, since it has none. */
+  /** Time until which the allocator is not asked, since it has no credit. */
   private _exhaustedUntil: Ms = -Infinity
-  /** When the keeper can lend to all who wait. */
+  /** Time at which the allocator expects to have credit for all waiting requests. */
   private _creditExpectedAt: Ms = -Infinity
   private readonly _demand = new DecayedCounter(demandHalfLife, 1)
   private _largestCost = 0
 
-  /** @param _startedAt - of the process */
+  /** @param _startedAt - when the process started */
   constructor (private readonly _startedAt: Ms) {}
 
-  /** Counts what a request asks for. */
+  /** Counts the cost of a request. */
   count (cost: number, now: Ms): void {
     this._demand.add(demandKey, now, cost)
     this._largestCost = Math.max(this._largestCost * 0.98, cost)
   }
 
-  /** Takes a request's usage. */
+  /** Takes the cost of a request from the credit. */
   spend (cost: number, at: Instant): SpendResult {
     if (cost <= this.available(at)) {
       this._available -= cost
@@ -73,7 +73,7 @@
     return this.expectedAvailability(at.now)
   }
 
-  /** What the keeper's last word means for a request that can't be let in now. */
+  /** What the allocator's last answer means for a request that can't be admitted now. */
   expectedAvailability (now: Ms): SpendResult & { readonly kind: 'short' | 'held' | 'closed' } {
     if (now >= this._exhaustedUntil) return { kind: 'short' }
     const wait = this._creditExpectedAt - now
@@ -82,29 +82,32 @@
 
   private _longestCreditWait (now: Ms): Ms { return now - this._startedAt < startPeriod ? maxCreditWaitAtStart : maxCreditWait }
 
-  /** Gives back what a request took that did not run. */
+  /** Returns the cost of a request that did not run. */
   refund (cost: number): void { this._available += cost }
 
-  /** Credit that can be used; what was lent lapses, since its keeper forgets it. */
+  /** Credit that can be used; it expires, since its allocator stops counting it. */
   available (at: Instant): number {
     return this._confirmedAt !== undefined && elapsed(this._confirmedAt, at) < creditTtl ? this._available : 0
   }
 
-  /** Whether more should be asked for ahead of need. */
+  /** Whether more credit should be asked for ahead of need. */
   isLow (at: Instant): boolean { return at.now >= this._exhaustedUntil && this.available(at) < this._target(at.now) * lowShare }
 
-  /** Of an account with few requests here, none is expected soon; what was lent for them would lie unused. */
+  /**
+   * Credit wanted ahead of need. It is 0 for an account with few requests here: none is expected soon, and credit for
+   * them would lie unused.
+   */
   private _target (now: Ms): number {
     const expected = this._demand.read(demandKey, now) * Math.LN2 / demandHalfLife * aheadTime
     return expected < this._largestCost ? 0 : expected
   }
 
   /**
-   * What to tell the keeper.
+   * Report to the allocator on this account.
    *
-   * @param first - what the first request costs that waits for credit; 0 when none waits
-   * @param waiting - what all cost that wait
-   * @returns undefined when there is nothing to tell
+   * @param first - cost of the first request that waits for credit; 0 when none waits
+   * @param waiting - cost of all requests that wait
+   * @returns undefined when there is nothing to report
    */
   row (account: string, first: number, waiting: number, at: Instant): UsageRow | undefined {
     this._available = this.available(at)
@@ -124,7 +127,7 @@
     return row.holding + row.waiting + row.ahead + row.returned === 0 ? undefined : row
   }
 
-  /** Takes the keeper's answer to a report that was sent at `sent`. */
+  /** Applies the allocator's answer to a report that was sent at `sent`. */
   applyGrant ({ granted, wait }: UsageGrant, sent: Instant, at: Instant): void {
     this._available = this.available(at) + granted
     this._confirmedAt = sent
--- a/packages/decisions/src/lib/view-age.ts
+++ b/packages/decisions/src/lib/view-age.ts
@@ -1,38 +1,38 @@
 /**
- * As of when a view of the store is known to be complete.
+ * Age of a view of the store: the time since which it may have missed changes.
  */
 import { elapsed, type Instant, type Ms } from '@hazelford/core'
 
 interface Confirmation {
-  /** Ms by which the view of whoever answered was behind when it was asked. */
+  /** Ms by which the view of the process that answered was behind when it was asked. */
   readonly age: Ms
   readonly asked: Instant
 }
 
 /**
- * Age of a view, never younger than the truth.
+ * Age of a view, never lower than its true age.
  *
- * An answer may be read long after it was written: the store is slow, the host is frozen, or the answer lies in a buffer. What
- * it tells was true when it was written, and that was surely after its question was sent. So the age counts from there, and what
- * a peer tells counts from the question to the peer, less the age that the peer tells.
+ * An answer may be read long after it was written: the store is slow, the host is frozen, or the answer lies in a
+ * buffer. It was true when it was written, which was certainly after its question was sent. So the age counts from the
+ * question. A peer's answer counts from the question to the peer, plus the age that the peer reports for its own view.
  */
 export class ViewAge {
   private _latest: Confirmation | undefined
 
   /**
-   * Takes an answer that is in the view by now.
+   * Records an answer that has been applied to the view.
    *
    * @param asked - when its question was sent
-   * @param age - ms by which the view of whoever answered was behind
+   * @param age - ms by which the view of the process that answered was behind
    * @param at - now
    */
   answered (asked: Instant, age: Ms, at: Instant): void {
     const confirmation = { age, asked }
-    // Suspended between the question and now, this process can't tell how long ago the question was.
+    // If this process was suspended after the question, it can't tell how long ago the question was sent.
     if (ageOf(confirmation, at) < this.at(at)) this._latest = confirmation
   }
 
-  /** Ms since which the view may have missed something; infinite when nothing proves it. */
+  /** Ms for which the view may have missed changes; infinite when no answer limits it. */
   at (at: Instant): Ms { return this._latest === undefined ? Infinity : ageOf(this._latest, at) }
 }
 
--- a/packages/decisions/src/lib/wait-queue.ts
+++ b/packages/decisions/src/lib/wait-queue.ts
@@ -1,21 +1,21 @@
 /**
- * Requests that wait for a batch place or for an adapter.
+ * Requests that wait for a batch slot or for an adapter.
  */
 import { type AdapterKey, classRank, type Ms, type TrafficClass } from '@hazelford/core'
 
-/** A request as the decisions see it. */
+/** A request as the plan sees it. */
 export interface PlanRequest {
   readonly id: string
   /** Undefined for a plain service. */
   readonly adapter?: AdapterKey
   readonly trafficClass: TrafficClass
   readonly arrivedAt: Ms
-  /** Latest start that still makes sense. */
+  /** Latest start that is still of use to the caller. */
   readonly deadlineAt: Ms
 }
 
 /**
- * Orders two waiting requests by class, then by age.
+ * Compares two waiting requests by traffic class, then by age.
  *
  * @returns negative when `a` goes first
  */
@@ -24,15 +24,15 @@
 }
 
 /**
- * Orders two waiting requests by age alone.
+ * Compares two waiting requests by age alone.
  *
- * @returns negative when `a` came first
+ * @returns negative when `a` arrived first
  */
 export function compareAge (a: PlanRequest, b: PlanRequest): number {
   return a.arrivedAt - b.arrivedAt
 }
 
-/** Key under which requests without an adapter wait. */
+/** Key of the group of requests without an adapter. */
 const noAdapter = ''
 
 /** Waiting requests, grouped by adapter in order of arrival. */
@@ -70,10 +70,10 @@
   }
 
   /**
-   * First request in an order that passes a test.
+   * First request, in a given order, whose adapter passes a test.
    *
    * @param compare - negative when its first argument goes first
-   * @param passes - tested once per group: whether its adapter can run
+   * @param passes - called once per group: whether its adapter can run
    */
   first (compare: (a: PlanRequest, b: PlanRequest) => number, passes: (adapter: AdapterKey | undefined) => boolean): PlanRequest | undefined {
     let best: PlanRequest | undefined
@@ -86,7 +86,7 @@
     return best
   }
 
-  /** Least urgent and youngest, the one to give up first under overload. */
+  /** The least urgent and youngest request, which is refused first under overload. */
   last (): PlanRequest | undefined {
     let worst: PlanRequest | undefined
     for (const request of this._byId.values()) {
