--- a/packages/decisions/src/lib/adapter-demand.ts
+++ b/packages/decisions/src/lib/adapter-demand.ts
@@ -86,9 +86,9 @@
    */
   byPriority (now: Ms): readonly PendingAdapter[] {
     return [...this._pending.values()]
-      .map(waiting => ({ waiting, weight: this._weight(waiting, now) }))
-      .sort((a, b) => b.weight - a.weight || a.waiting.since - b.waiting.since)
-      .map(({ waiting }) => waiting)
+      .map(pending => ({ pending, weight: this._weight(pending, now) }))
+      .sort((a, b) => b.weight - a.weight || a.pending.since - b.pending.since)
+      .map(({ pending }) => pending)
   }
 
   private _weight ({ want, urgency, dueAt }: PendingAdapter, now: Ms): number {
--- a/packages/decisions/src/lib/adapter-plan.ts
+++ b/packages/decisions/src/lib/adapter-plan.ts
@@ -34,7 +34,7 @@
  * would keep a third of the adapter slots from adapters that requests wait for.
  */
 export const readyReservation: Ms = 300
-/** Adapters that one engine may load at a time; the engine fails beyond it. */
+/** Adapters that one engine may load at a time; with more, the engine fails. */
 const maxInTransit = 4
 /**
  * Pause before a report is asked for, so that it shows the effect of the last order: reports lag by some hundred ms.
--- a/packages/decisions/src/lib/load-times.ts
+++ b/packages/decisions/src/lib/load-times.ts
@@ -55,11 +55,11 @@
    *
    * @param key - the adapter
    * @param took - ms since its order
-   * @param late - whether it had not ended at the expected time
+   * @param isLate - whether it had not ended at the expected time
    */
-  record (key: string, took: Ms, late: boolean): void {
+  record (key: string, took: Ms, isLate: boolean): void {
     if (this.isRecent(key)) return
-    const seen = late ? took / storeLoadTime : this._slowdown * onTimeFactor
+    const seen = isLate ? took / storeLoadTime : this._slowdown * onTimeFactor
     this._slowdown = Math.max(minSlowdown, this._slowdown + slowdownWeight * (seen - this._slowdown))
   }
 }
--- a/packages/decisions/src/lib/place-request.ts
+++ b/packages/decisions/src/lib/place-request.ts
@@ -89,8 +89,8 @@
  * Wait for a batch slot behind the requests that wait already. With streams of 2.5 s and 12 batch slots, one becomes
  * free every 208 ms.
  */
-function batchSlotWait ({ running, slots }: PlacementCandidate, { serviceTime: stay }: PlacementContext): Ms {
-  return Math.max(0, running + 1 - slots) * Math.max(queueCost, stay / slots)
+function batchSlotWait ({ running, slots }: PlacementCandidate, { serviceTime }: PlacementContext): Ms {
+  return Math.max(0, running + 1 - slots) * Math.max(queueCost, serviceTime / slots)
 }
 
 function cost (candidate: PlacementCandidate, context: PlacementContext): Ms {
--- a/packages/decisions/src/lib/prompt-throttle.ts
+++ b/packages/decisions/src/lib/prompt-throttle.ts
@@ -118,7 +118,7 @@
   admit (now: Ms, batchSlots = Infinity): readonly string[] {
     this._dropAbandoned(now)
     const queue = this._admissionOrder(now)
-    this._isSaturated = queue.some(ticket => this._isLate(ticket, now))
+    this._isSaturated = queue.some(prompt => this._isLate(prompt, now))
     this._setRate(queue, now)
     const admitted: string[] = []
     for (const { id, tokens } of queue) {
--- a/packages/decisions/src/lib/request-quarantine.ts
+++ b/packages/decisions/src/lib/request-quarantine.ts
@@ -33,8 +33,8 @@
 /**
  * Longest time, in ms, for which a request may have received data from an upstream and still be the likely cause of its
  * termination. A request that terminates its upstream does so as it starts to run: 22 to 273 ms after it was sent there
- * and before its first event, in ten terminations seen by five entries. The margin is for slow upstreams. Streams last
- * seconds: of 173 answers lost in those terminations, some 64 were ruled out by this limit.
+ * and before its first event, at ten terminations in the logs of five entries. The margin is for slow upstreams.
+ * Streams last seconds: of 173 answers lost in those terminations, some 64 were ruled out by this limit.
  */
 const maxAnsweredBeforeTermination: Ms = 1_000
 
@@ -83,9 +83,9 @@
    * Records that an upstream terminated while it had a request.
    *
    * A request that was answered recently is not counted: requests that terminate upstreams are never answered.
-   * Otherwise a health check that all callers send would be quarantined after three upstreams have terminated for
-   * another reason. A request that was quarantined and then terminates one more upstream during its probation is
-   * quarantined again at once.
+   * Otherwise a check that all callers send would be quarantined after three upstreams have terminated for another
+   * reason. A request that was quarantined and then terminates one more upstream during its probation is quarantined
+   * again at once.
    *
    * @returns whether so many upstreams have terminated while running the request that it should be quarantined, and is
    * not yet
--- a/packages/decisions/src/lib/usage-pool.ts
+++ b/packages/decisions/src/lib/usage-pool.ts
@@ -10,9 +10,9 @@
   | { readonly kind: 'spent' }
   /** The allocator must be asked. */
   | { readonly kind: 'short' }
-  /** The allocator was asked, and will have credit soon. */
+  /** The allocator was asked and will have credit soon: the request waits. */
   | { readonly kind: 'held', readonly retryAfter: Ms }
-  /** The allocator has answered that it has no credit for now. */
+  /** The allocator has answered that it has no credit for now: the request is refused. */
   | { readonly kind: 'closed', readonly retryAfter: Ms }
 
 /** Time for which credit is asked for ahead of need. */
