--- a/packages/decisions/src/test/engine-assignment.steps.ts
+++ b/packages/decisions/src/test/engine-assignment.steps.ts
@@ -153,8 +153,8 @@
 
   private _claim (engine: string): void {
     const since = this._freeSince.get(engine) ?? 0
-    const order = claimSequences([engine], this._assignment).get(engine)!
-    const claimant = order.find((entry, rank) => this._now - since >= rank * claimStep && this._now - (this._startedAt.get(entry) ?? -firstClaimAfter) >= firstClaimAfter &&
+    const sequence = claimSequences([engine], this._assignment).get(engine)!
+    const claimant = sequence.find((entry, rank) => this._now - since >= rank * claimStep && this._now - (this._startedAt.get(entry) ?? -firstClaimAfter) >= firstClaimAfter &&
       (this._former.get(engine) === entry || this._cooldowns.get(entry)!.mayReclaim(engine, this._now)))
     if (claimant === undefined) return
     this._assignment.holders.set(engine, claimant)
@@ -170,14 +170,14 @@
 Then('for any handovers, stops and starts no entry holds an engine both before and after another within a turn', () => {
   const steps = fc.array(fc.record({ entry: fc.nat(4), after: fc.integer({ min: 1, max: 30 }) }), { maxLength: 30 })
   fc.assert(fc.property(steps, list => {
-    const turns = new HolderSimulation(8, 5)
+    const simulation = new HolderSimulation(8, 5)
     let now = 1_000
-    turns.pass(now)
+    simulation.pass(now)
     for (const { entry, after } of list) {
-      turns.toggle(`entry-${entry}`)
-      turns.pass(now += after * tick)
+      simulation.toggle(`entry-${entry}`)
+      simulation.pass(now += after * tick)
     }
-    for (const holds of turns.holds.values()) assertNoReturnWithinTurn(holds)
+    for (const holds of simulation.holds.values()) assertNoReturnWithinTurn(holds)
   }), propertyOptions)
 })
 
--- a/packages/decisions/src/test/prompt-throttle.steps.ts
+++ b/packages/decisions/src/test/prompt-throttle.steps.ts
@@ -77,8 +77,8 @@
   }
 }
 
-function simulate (load: readonly Arrival[], paced: boolean): readonly Outcome[] {
-  const pacer = new PromptThrottle()
+function simulate (load: readonly Arrival[], throttled: boolean): readonly Outcome[] {
+  const throttle = new PromptThrottle()
   const engine = new SimulatedBatch()
   const byId = new Map(load.map(arrival => [arrival.id, arrival]))
   const waiting = new Set<Arrival>()
@@ -87,18 +87,18 @@
   for (let now = 0; now < end;) {
     for (; next < load.length && load[next]!.at <= now; next++) waiting.add(load[next]!)
     for (const arrival of waiting) {
-      if (!paced) engine.addPrompt(arrival)
-      else pacer.enqueue({ id: arrival.id, tokens: arrival.tokens, urgency: arrival.urgency, dueAt: arrival.at + firstDue }, now)
+      if (!throttled) engine.addPrompt(arrival)
+      else throttle.enqueue({ id: arrival.id, tokens: arrival.tokens, urgency: arrival.urgency, dueAt: arrival.at + firstDue }, now)
     }
-    if (!paced) waiting.clear()
-    for (const id of paced ? pacer.admit(now) : []) {
+    if (!throttled) waiting.clear()
+    for (const id of throttled ? throttle.admit(now) : []) {
       engine.addPrompt(byId.get(id)!)
       waiting.delete(byId.get(id)!)
     }
-    const told = engine.outcomes.length
+    const reported = engine.outcomes.length
     now += engine.step(now)
-    const ended = engine.outcomes.slice(told)
-    pacer.adjustSpeed(ended.length, ended.filter(({ paused: late }) => late).length)
+    const ended = engine.outcomes.slice(reported)
+    throttle.adjustSpeed(ended.length, ended.filter(({ paused: late }) => late).length)
   }
   return engine.outcomes
 }
@@ -109,40 +109,40 @@
 
 Then('with the throttle at least {int} in 100 streams of the busy day are in time, and {int} in 100 more than without', (least: number, more: number) => {
   const load = arrivals(20, 60)
-  const [paced, plain] = [share(simulate(load, true), load.length), share(simulate(load, false), load.length)]
-  assert.ok(paced * 100 >= least, `with ${paced.toFixed(2)}, without ${plain.toFixed(2)}`)
-  assert.ok((paced - plain) * 100 >= more, `with ${paced.toFixed(2)}, without ${plain.toFixed(2)}`)
+  const [throttled, plain] = [share(simulate(load, true), load.length), share(simulate(load, false), load.length)]
+  assert.ok(throttled * 100 >= least, `with ${throttled.toFixed(2)}, without ${plain.toFixed(2)}`)
+  assert.ok((throttled - plain) * 100 >= more, `with ${throttled.toFixed(2)}, without ${plain.toFixed(2)}`)
 })
 
 Then('in overload more streams are in time with the throttle than without, and no urgent class behind a less urgent one', () => {
   const load = arrivals(36, 20)
-  const paced = simulate(load, true)
+  const throttled = simulate(load, true)
   const of = (urgency: number): number => load.filter(arrival => arrival.urgency === urgency).length
-  assert.ok(share(paced, load.length) > share(simulate(load, false), load.length))
-  const [urgent, other] = [share(paced, of(0), 0), share(paced, of(1), 1)]
+  assert.ok(share(throttled, load.length) > share(simulate(load, false), load.length))
+  const [urgent, other] = [share(throttled, of(0), 0), share(throttled, of(1), 1)]
   assert.ok(urgent >= other, `urgent ${urgent.toFixed(2)}, others ${other.toFixed(2)}, without ${share(simulate(load, false), load.length).toFixed(2)}`)
 })
 
 Then('streams that pause too long slow it down, and streams that don\'t speed it up, within bounds', () => {
-  const pacer = new PromptThrottle()
-  const first = pacer.rate
-  pacer.adjustSpeed(10, 5)
-  assert.ok(pacer.rate < first)
-  pacer.adjustSpeed(100_000, 100_000)
-  const least = pacer.rate
+  const throttle = new PromptThrottle()
+  const first = throttle.rate
+  throttle.adjustSpeed(10, 5)
+  assert.ok(throttle.rate < first)
+  throttle.adjustSpeed(100_000, 100_000)
+  const least = throttle.rate
   assert.ok(least > 0 && least >= first * 0.39)
-  pacer.adjustSpeed(1_000_000, 0)
-  assert.ok(pacer.rate <= first * 2.01)
+  throttle.adjustSpeed(1_000_000, 0)
+  assert.ok(throttle.rate <= first * 2.01)
 })
 
 Then('it leaves the queue without being admitted', () => {
-  const pacer = new PromptThrottle()
-  pacer.enqueue({ id: 'big', tokens: 100_000, urgency: 1, dueAt: 800 }, 0)
-  assert.deepEqual(pacer.admit(0), ['big'])
-  pacer.enqueue({ id: 'left', tokens: 10, urgency: 1, dueAt: 800 }, 0)
-  assert.deepEqual(pacer.admit(10), [])
-  assert.deepEqual(pacer.admit(60_000), [])
-  assert.equal(pacer.waiting, 0)
+  const throttle = new PromptThrottle()
+  throttle.enqueue({ id: 'big', tokens: 100_000, urgency: 1, dueAt: 800 }, 0)
+  assert.deepEqual(throttle.admit(0), ['big'])
+  throttle.enqueue({ id: 'left', tokens: 10, urgency: 1, dueAt: 800 }, 0)
+  assert.deepEqual(throttle.admit(10), [])
+  assert.deepEqual(throttle.admit(60_000), [])
+  assert.equal(throttle.waiting, 0)
 })
 
 Then('at {int} requests a second at least {int} in 100 streams are in time', (perSecond: number, least: number) => {
--- a/packages/decisions/src/test/request-quarantine.steps.ts
+++ b/packages/decisions/src/test/request-quarantine.steps.ts
@@ -46,9 +46,9 @@
     const last = this._until.get(request) ?? -Infinity
     const since = now - last < holdTime ? last : -Infinity
     if (at < since) return
-    const counts = (end: { readonly request: string, readonly at: Ms }): boolean => end.request === request && now - end.at < holdTime && end.at >= since
+    const counts = (termination: { readonly request: string, readonly at: Ms }): boolean => termination.request === request && now - termination.at < holdTime && termination.at >= since
     const own = this._terminations.filter(counts)
-    if (!own.some(end => end.upstream === upstream && Math.abs(end.at - at) < sameTermination)) this._terminations.push({ request, upstream, at })
+    if (!own.some(termination => termination.upstream === upstream && Math.abs(termination.at - at) < sameTermination)) this._terminations.push({ request, upstream, at })
     if (this._terminations.filter(counts).length >= (since === -Infinity ? after : 1)) this._until.set(request, now + holdTime)
   }
 
@@ -137,7 +137,7 @@
 })
 
 Then('{int} engines terminate in each simulation, and a harmless stream is quarantined in one simulation of ten at most', function (this: QuarantineWorld, ends: number) {
-  assert.deepEqual(this.simulations.map(play => play.ends), this.simulations.map(() => ends))
-  const withSound = this.simulations.filter(({ held }) => held > 1).length
-  assert.ok(withSound <= this.simulations.length / 10, `${withSound} of ${this.simulations.length}`)
+  assert.deepEqual(this.simulations.map(result => result.ends), this.simulations.map(() => ends))
+  const withHarmless = this.simulations.filter(({ held }) => held > 1).length
+  assert.ok(withHarmless <= this.simulations.length / 10, `${withHarmless} of ${this.simulations.length}`)
 })
