--- a/packages/decisions/src/lib/adapter-plan.ts
+++ b/packages/decisions/src/lib/adapter-plan.ts
@@ -1,5 +1,5 @@
 /**
- * Plans what one engine is ordered to load and unload, by the entry that orders it.
+ * Plans the load and unload orders for one engine, for the entry that is its holder.
  */
 import { assertNever, type Ms } from '@hazelford/core'
 import type { EngineReport, EngineSpec, EngineModel, LoadTarget, EngineOrderOutcome } from '@hazelford/ports'
@@ -7,70 +7,76 @@
 import { AdapterUses } from './adapter-uses.js'
 import { LoadTimes } from './load-times.js'
 
-/** What the plan wants done next. */
+/** Next action of the plan. */
 export type PlanAction =
   | { readonly kind: 'load', readonly target: LoadTarget }
   | { readonly kind: 'unload', readonly target: LoadTarget }
-  /** The engine must be asked what it holds. */
+  /** The engine must be asked for a report of its loaded adapters. */
   | { readonly kind: 'report' }
-  /** Nothing to do before `until`, or before something is asked for. */
+  /** Nothing to do before `until`, or before an adapter is requested. */
   | { readonly kind: 'idle', readonly until: Ms }
 
-/** Answer to a request for an adapter. */
+/** Answer to a load request. */
 export type Readiness =
-  /** Requests for it may be sent until `until`; it isn't unloaded before. */
+  /** Requests for the adapter may be sent until `until`; it isn't unloaded before. */
   | { readonly kind: 'ready', readonly until: Ms, readonly version: number | undefined }
-  /** It is on its way, or waits for a slot. */
+  /** The adapter is being loaded, or waits for an adapter slot. */
   | { readonly kind: 'coming' }
-  /** Every slot is in use, or requests still run on an older version: another engine can have it sooner. */
+  /**
+   * Every adapter slot is in use, or requests still run on an older version: another engine can have the adapter
+   * sooner.
+   */
   | { readonly kind: 'occupied' }
 
 /**
- * A request starts well within this time after its entry was told that it may. From then on
- * the entry's word on what it uses keeps the adapter; each second more would keep a third of
- * the slots from adapters that somebody waits for.
+ * Time for which an adapter stays loaded for a request whose entry was notified that it may send it; requests start
+ * well within it. From then on the entry's reports on the adapters that it uses keep the adapter. Each second more
+ * would keep a third of the adapter slots from adapters that requests wait for.
  */
 export const readyReservation: Ms = 300
-/** Adapters that may be in transit to one engine; it fails beyond. */
+/** Adapters that one engine may load at a time; with more, the engine fails. */
 const maxInTransit = 4
-/** A report lags by some hundred ms; a later one shows the effect of an order. */
+/**
+ * Pause before a report is asked for, so that it shows the effect of the last order: reports lag by some hundred ms.
+ */
 const reportLag: Ms = 250
-const conflictPause: Ms = 100
+const conflictBackoff: Ms = 100
 /**
- * Times an order without an answer is sent again before the engine is asked for a report. With a third of
- * the orders unanswered, one order in 2,000 gets this far.
+ * Times that an order without an answer is sent again before the engine is asked for a report. With a third of the
+ * orders unanswered, one order in 2,000 gets this far.
  */
-const maxRepeats = 6
-/** How soon a plan that found no slot looks again. */
-const slotRetry: Ms = 50
-/** An adapter just loaded stays this long, for those who waited for it. */
-const settleTime: Ms = 150
+const maxOrderRetries = 6
+/** Pause after which the plan looks for an adapter slot again, when there was none. */
+const slotRetryInterval: Ms = 50
+/** Time for which an adapter that has just been loaded is kept for the requests that waited for it. */
+const loadedReservation: Ms = 150
 
 interface Slot {
   readonly model: string
   readonly adapter: string
   version: number | undefined
   /**
-   * - `in-transit`: accepted by the engine, which is asked from `readyAt` on whether it holds.
-   * - `unloading`: the engine waits for its requests to end.
+   * - `in-transit`: the engine has accepted the load order; from `readyAt` on it is asked whether the adapter is
+   *   loaded.
+   * - `unloading`: the engine waits for the adapter's requests to end.
    * - `unknown`: an order had no answer.
    */
   state: 'loaded' | 'in-transit' | 'unloading' | 'unknown'
-  /** When its load was ordered; of no meaning for one that is loaded or unloading. */
+  /** When the load was ordered; without meaning for a slot that is loaded or unloading. */
   orderedAt: Ms
   readyAt: Ms
-  /** Whether its load was not over when it should have been. */
-  late: boolean
-  promisedUntil: Ms
+  /** Whether the load took longer than expected. */
+  isLate: boolean
+  reservedUntil: Ms
 }
 
-/** How an adapter is asked for. */
+/** Terms of one load request. */
 export interface LoadRequestTerms extends DemandTerms {
-  /** The engine has just refused a request for lack of it. */
+  /** Whether the engine has just refused a request because it lacks the adapter. */
   readonly missing: boolean
-  /** Whether to stand in line when every slot is in use. */
+  /** Whether the request waits when every adapter slot is in use; if not, the answer is `occupied`. */
   readonly mayWait: boolean
-  /** Whether the same request has asked here before: it is one request all the same. */
+  /** Whether the same request has asked before. It is not counted as a further request then. */
   readonly repeated: boolean
 }
 
@@ -80,82 +86,85 @@
 
 function slotKey (model: string, adapter: string): string { return `${model}/${adapter}` }
 
-/** Loads, unloads and promises of one engine. Reads no clock; each call names the time. */
+/** Loads, unloads and reservations of the adapters of one engine. It reads no clock; each call passes the time. */
 export class AdapterPlan {
   private _slots = new Map<string, Slot>()
   private _models = new Map<string, 'loaded' | 'in-transit' | 'unknown'>()
   private readonly _demand = new AdapterDemand()
   private readonly _uses = new AdapterUses()
-  private readonly _times = new LoadTimes()
-  /** An order without an answer; it is sent again before any other. */
-  private _unanswered: PlanAction & { readonly kind: 'load' | 'unload' } | undefined
-  private _repeats = 0
-  private _mustReport = true
+  private readonly _loadTimes = new LoadTimes()
+  /** The order that got no answer; it is sent again before any other. */
+  private _unansweredOrder: PlanAction & { readonly kind: 'load' | 'unload' } | undefined
+  private _orderRetries = 0
+  private _needsReport = true
   private _reportAt: Ms = 0
   private _orders = 0
 
   constructor (private readonly _spec: EngineSpec) {}
 
-  /** Adapters loaded, on their way or leaving: all of them hold slots. */
+  /** Adapters that are loaded, loading or unloading; each of them occupies an adapter slot. */
   get slotsUsed (): number { return this._slots.size }
 
   get waiting (): number { return this._demand.size }
 
-  /** Orders that the engine has counted, which the next one names as what it is based on. */
+  /**
+   * Number of orders that the engine has counted. The next order names it, so that the engine refuses an order that is
+   * based on another view of it.
+   */
   get orders (): number { return this._orders }
 
   hasModelLoaded (model: string): boolean { return this._models.get(model) === 'loaded' }
 
   /**
-   * Takes what the engine says it holds.
+   * Applies the engine's report of its loaded adapters.
    *
-   * @param report - asked for at `askedAt`
+   * @param report - the engine's answer to a question asked at `askedAt`
    * @param askedAt - time
    */
   applyReport (report: EngineReport, askedAt: Ms): void {
-    this._unanswered = undefined
+    this._unansweredOrder = undefined
     this._orders = report.orders
-    const held = this._slots
+    const previous = this._slots
     this._slots = new Map()
     this._models = new Map(report.models.map(({ model }) => [model, 'loaded']))
-    this._mustReport = false
-    for (const model of report.models) this._takeModel(model, held, askedAt)
+    this._needsReport = false
+    for (const model of report.models) this._applyModelReport(model, previous, askedAt)
     for (const { model, adapter, version } of report.coming) {
       const key = slotKey(model, adapter)
-      const before = held.get(key)
+      const before = previous.get(key)
       const ordered = before?.state === 'in-transit' || before?.state === 'unknown' ? before : undefined
-      this._slots.set(key, { model, adapter, version, state: 'in-transit', orderedAt: ordered?.orderedAt ?? askedAt, readyAt: Math.max(ordered?.readyAt ?? 0, askedAt + this._times.shortest), late: false, promisedUntil: 0 })
+      this._slots.set(key, { model, adapter, version, state: 'in-transit', orderedAt: ordered?.orderedAt ?? askedAt, readyAt: Math.max(ordered?.readyAt ?? 0, askedAt + this._loadTimes.shortest), isLate: false, reservedUntil: 0 })
     }
-    // An order that was accepted after the report's values were read isn't in it yet.
-    for (const [key, slot] of held) {
+    // A report lags and lacks orders that the engine accepted shortly before it was asked, so their slots are kept.
+    for (const [key, slot] of previous) {
       if (slot.state === 'in-transit' && slot.readyAt > askedAt - reportLag && !this._slots.has(key)) this._slots.set(key, slot)
     }
-    if (report.busy) this._askAgain(askedAt + reportLag)
+    if (report.busy) this._scheduleReport(askedAt + reportLag)
   }
 
-  private _takeModel ({ model, adapters }: EngineModel, held: ReadonlyMap<string, Slot>, askedAt: Ms): void {
+  private _applyModelReport ({ model, adapters }: EngineModel, previous: ReadonlyMap<string, Slot>, askedAt: Ms): void {
     for (const { adapter, version } of adapters) {
       const key = slotKey(model, adapter)
-      const before = held.get(key)
+      const before = previous.get(key)
       const leaving = before?.state === 'unloading'
-      if (leaving) this._askAgain(askedAt + reportLag)
-      this._slots.set(key, { model, adapter, version, state: leaving ? 'unloading' : 'loaded', orderedAt: 0, readyAt: -Infinity, late: false, promisedUntil: before?.promisedUntil ?? 0 })
-      this._times.remember(key)
+      if (leaving) this._scheduleReport(askedAt + reportLag)
+      this._slots.set(key, { model, adapter, version, state: leaving ? 'unloading' : 'loaded', orderedAt: 0, readyAt: -Infinity, isLate: false, reservedUntil: before?.reservedUntil ?? 0 })
+      this._loadTimes.markRecent(key)
     }
   }
 
-  private _askAgain (at: Ms): void {
-    this._mustReport = true
+  private _scheduleReport (at: Ms): void {
+    this._needsReport = true
     this._reportAt = at
   }
 
   /**
-   * Takes an entry's word on the adapters that its open requests use here.
+   * Records the adapters that the open requests of an entry use at this engine.
    *
-   * An adapter that is unloaded under its requests stays until they end, and refuses new
-   * ones all that time; its slot is gained no sooner.
+   * An adapter that is unloaded while requests use it stays loaded until they end, and refuses new requests for all
+   * that time. Its slot becomes free no sooner, so such an adapter is not unloaded.
    *
-   * @param entry - who says so
+   * @param entry - the entry that reports
    * @param keys - `model/adapter`
    * @param now - time
    */
@@ -163,90 +172,90 @@
     this._uses.note(entry, keys, now)
   }
 
-  /** Notes a request that is about to use an adapter, until its entry's next word. */
+  /** Records a request that is about to use an adapter, until its entry's next report. */
   addUse (entry: string, model: string, adapter: string, now: Ms): void {
     this._uses.add(entry, slotKey(model, adapter), now)
     const slot = this._slots.get(slotKey(model, adapter))
-    if (slot !== undefined) slot.promisedUntil = Math.max(slot.promisedUntil, now + readyReservation)
+    if (slot !== undefined) slot.reservedUntil = Math.max(slot.reservedUntil, now + readyReservation)
   }
 
   /**
-   * Keeps an adapter for a request that waits for a place. Unloaded meanwhile, it would have to be loaded anew for a request
-   * that was told it is there.
+   * Extends the reservation of an adapter for a request that waits for a batch slot. Unloaded meanwhile, the adapter
+   * would have to be loaded anew for a request whose entry was notified that it is loaded.
    */
   extendReservation (model: string, adapter: string, until: Ms): void {
     const slot = this._slots.get(slotKey(model, adapter))
-    if (slot !== undefined) slot.promisedUntil = Math.max(slot.promisedUntil, until)
+    if (slot !== undefined) slot.reservedUntil = Math.max(slot.reservedUntil, until)
   }
 
   /**
-   * Asks for an adapter, or for a model alone.
+   * Requests an adapter, or a model alone.
    *
-   * @param want - in the version declared, if one is
-   * @param terms - how urgent, for how long
+   * @param requested - with a version, if one is declared
+   * @param terms - priority and deadlines
    * @param now - time
    */
-  requestAdapter (want: RequestedAdapter, terms: LoadRequestTerms, now: Ms): Readiness {
-    const key = requestedAdapterKey(want)
+  requestAdapter (requested: RequestedAdapter, terms: LoadRequestTerms, now: Ms): Readiness {
+    const key = requestedAdapterKey(requested)
     if (!terms.repeated) this._demand.count(key, now)
     const slot = this._slots.get(key)
-    if (terms.missing && slot !== undefined) this._distrust(slot, now)
-    const ready = this.reserve(want, now)
+    if (terms.missing && slot !== undefined) this._invalidate(slot, now)
+    const ready = this.reserve(requested, now)
     if (ready !== undefined) return ready
-    if (!terms.mayWait && this._occupied(key, slot, now)) return { kind: 'occupied' }
-    this._demand.enqueue(want, terms, now)
+    if (!terms.mayWait && this._isOccupied(key, slot, now)) return { kind: 'occupied' }
+    this._demand.enqueue(requested, terms, now)
     return { kind: 'coming' }
   }
 
-  /** Whether it takes the end of somebody's requests to make room. */
-  private _occupied (key: string, slot: Slot | undefined, now: Ms): boolean {
+  /** Whether an adapter slot becomes free only when running requests end. */
+  private _isOccupied (key: string, slot: Slot | undefined, now: Ms): boolean {
     if (slot !== undefined) return slot.state === 'unloading' || (slot.state === 'loaded' && this._uses.inUse(key, now))
     const ahead = this._demand.keys().filter(other => !this._slots.has(other)).length
     const free = this._spec.adapterSlots - this._slots.size - ahead
-    return free <= 0 && this._victims(now) <= ahead
+    return free <= 0 && this._countEvictable(now) <= ahead
   }
 
-  private _victims (now: Ms): number {
-    let victims = 0
-    for (const [key, slot] of this._slots) if (this._mayGo(key, slot, now)) victims++
-    return victims
+  private _countEvictable (now: Ms): number {
+    let count = 0
+    for (const [key, slot] of this._slots) if (this._isEvictable(key, slot, now)) count++
+    return count
   }
 
   /**
-   * Promises an adapter or a model that can be used now.
+   * Reserves an adapter or a model that can be used now.
    *
-   * @returns undefined when it can't be
+   * @returns undefined when it can't be used now
    */
-  reserve (want: RequestedAdapter, now: Ms): Readiness & { readonly kind: 'ready' } | undefined {
-    const key = requestedAdapterKey(want)
-    if (want.adapter === undefined) {
-      if (!this.hasModelLoaded(want.model)) return undefined
-      this._demand.served(key)
+  reserve (requested: RequestedAdapter, now: Ms): Readiness & { readonly kind: 'ready' } | undefined {
+    const key = requestedAdapterKey(requested)
+    if (requested.adapter === undefined) {
+      if (!this.hasModelLoaded(requested.model)) return undefined
+      this._demand.remove(key)
       return { kind: 'ready', until: now + readyReservation, version: undefined }
     }
     const slot = this._slots.get(key)
-    if (slot === undefined || !this._usable(slot, want)) return undefined
-    slot.promisedUntil = Math.max(slot.promisedUntil, now + readyReservation)
-    this._demand.served(key)
-    return { kind: 'ready', until: slot.promisedUntil, version: slot.version }
+    if (slot === undefined || !this._isUsable(slot, requested)) return undefined
+    slot.reservedUntil = Math.max(slot.reservedUntil, now + readyReservation)
+    this._demand.remove(key)
+    return { kind: 'ready', until: slot.reservedUntil, version: slot.version }
   }
 
   hasAdapterSlot (model: string, adapter: string): boolean { return this._slots.has(slotKey(model, adapter)) }
 
-  private _usable (slot: Slot, want: RequestedAdapter): boolean {
-    if (want.version !== undefined && (slot.version ?? 0) < want.version) return false
+  private _isUsable (slot: Slot, requested: RequestedAdapter): boolean {
+    if (requested.version !== undefined && (slot.version ?? 0) < requested.version) return false
     return slot.state === 'loaded'
   }
 
-  /** The engine lacks what the plan took for loaded: the load is late, or its view is wrong. */
-  private _distrust (slot: Slot, now: Ms): void {
+  /** The engine lacks an adapter that the plan counts as loaded: its load is late, or the plan's view is wrong. */
+  private _invalidate (slot: Slot, now: Ms): void {
     slot.state = 'unknown'
     slot.orderedAt = now
     slot.readyAt = now
-    this._askAgain(now)
+    this._scheduleReport(now)
   }
 
-  /** When the next load should be over; undefined when none is under way. */
+  /** Time at which the next load is expected to end; undefined when none runs. */
   nextLoadDueAt (now: Ms): Ms | undefined {
     let next: Ms | undefined
     for (const slot of this._slots.values()) {
@@ -256,32 +265,32 @@
   }
 
   /**
-   * Decides the next order. One order is under way at any time.
+   * Decides the next action. One order is in progress at any time.
    *
    * @param now - time
    */
   nextAction (now: Ms): PlanAction {
     this._demand.dropExpired(now)
-    if (this._mustReport) return now >= this._reportAt ? { kind: 'report' } : { kind: 'idle', until: this._reportAt }
-    if (this._unanswered !== undefined) return this._unanswered
-    const due = this._dueConfirmation(now)
+    if (this._needsReport) return now >= this._reportAt ? { kind: 'report' } : { kind: 'idle', until: this._reportAt }
+    if (this._unansweredOrder !== undefined) return this._unansweredOrder
+    const due = this._loadToConfirm(now)
     if (due !== undefined) return due
     const model = this._modelToLoad()
     if (model !== undefined) return { kind: 'load', target: { model } }
-    for (const { want } of this._demand.inOrder(now)) {
+    for (const { want } of this._demand.byPriority(now)) {
       const action = want.adapter === undefined ? undefined : this._actionFor(want, now)
       if (action !== undefined) return action
     }
-    // A waiting adapter may need a slot whose promise runs out.
-    const retry = this._demand.size > 0 ? now + slotRetry : Infinity
+    // The slot for a pending adapter may be reserved now and free when the reservation ends.
+    const retry = this._demand.size > 0 ? now + slotRetryInterval : Infinity
     return { kind: 'idle', until: Math.min(retry, this.nextLoadDueAt(now) ?? Infinity) }
   }
 
   /**
-   * A load whose time should be over. Its order is sent once more: the engine says at once
-   * whether it holds, while a report lags by some hundred ms.
+   * A load that should have ended. Its order is sent once more: the engine answers at once whether the adapter is
+   * loaded, while a report lags by some hundred ms.
    */
-  private _dueConfirmation (now: Ms): PlanAction | undefined {
+  private _loadToConfirm (now: Ms): PlanAction | undefined {
     for (const slot of this._slots.values()) {
       if (slot.state === 'in-transit' && now >= slot.readyAt) return { kind: 'load', target: targetOf(slot) }
     }
@@ -289,28 +298,27 @@
   }
 
   /**
-   * An engine starts empty after a crash. Its model is loaded before anybody asks, since
-   * nobody sends requests to an engine without one. With several models, one that is asked
-   * for goes first, then the first that fits.
+   * Next model to load. An engine is empty after a crash. A model is loaded before it is requested, since entries send
+   * no requests to an engine without one. With several models, a requested one goes first, then the first that fits.
    */
   private _modelToLoad (): string | undefined {
     if ([...this._models.values()].includes('in-transit')) return undefined
     const room = this._spec.weightsMb - this._spec.models.filter(({ name }) => this._models.has(name)).reduce((sum, { weightsMb }) => sum + weightsMb, 0)
     const absent = this._spec.models.filter(({ name, weightsMb }) => !this._models.has(name) && weightsMb <= room)
-    const asked = absent.find(({ name }) => this._demand.waitsForModel(name))
-    return (asked ?? (this._models.size === 0 ? absent[0] : undefined))?.name
+    const requested = absent.find(({ name }) => this._demand.isModelPending(name))
+    return (requested ?? (this._models.size === 0 ? absent[0] : undefined))?.name
   }
 
-  private _actionFor (want: RequestedAdapter, now: Ms): PlanAction | undefined {
-    const { model, adapter } = want
+  private _actionFor (requested: RequestedAdapter, now: Ms): PlanAction | undefined {
+    const { model, adapter } = requested
     if (adapter === undefined || !this.hasModelLoaded(model)) return undefined
     const slot = this._slots.get(slotKey(model, adapter))
-    if (slot !== undefined && (slot.state !== 'loaded' || this._usable(slot, want))) return undefined
-    if (this._inTransit() >= maxInTransit || !this._storeHasRoom(want)) return undefined
-    // A newer version takes the slot of the older one, once its requests have ended: until
-    // then the engine would refuse new ones.
-    if (slot !== undefined) return this._uses.inUse(slotKey(model, adapter), now) ? undefined : { kind: 'load', target: want }
-    if (this._slots.size < this._spec.adapterSlots && this._weightsFit(model)) return { kind: 'load', target: want }
+    if (slot !== undefined && (slot.state !== 'loaded' || this._isUsable(slot, requested))) return undefined
+    if (this._inTransit() >= maxInTransit || !this._storeHasRoom(requested)) return undefined
+    // A newer version replaces the older one in its slot after the requests on the older one have ended: until then the
+    // engine would refuse new requests.
+    if (slot !== undefined) return this._uses.inUse(slotKey(model, adapter), now) ? undefined : { kind: 'load', target: requested }
+    if (this._slots.size < this._spec.adapterSlots && this._weightsFit(model)) return { kind: 'load', target: requested }
     const victim = this._victim(now)
     return victim === undefined ? undefined : { kind: 'unload', target: { model: victim.model, adapter: victim.adapter } }
   }
@@ -320,15 +328,15 @@
   }
 
   /**
-   * Whether a load from the weight store would only slow down those under way.
+   * Whether the weight store can serve one more load without slowing down those in progress.
    *
-   * The store shares its rate between all loads of all engines. Beyond what it can feed,
-   * more loads at once bring no adapter sooner and each one later.
+   * The store shares its rate between all loads of all engines. Beyond what it can serve, more loads at once bring no
+   * adapter sooner and make each of them later.
    */
   private _storeHasRoom ({ model, adapter }: RequestedAdapter): boolean {
-    if (this._times.isRecent(slotKey(model, adapter ?? ''))) return true
-    const fresh = [...this._slots].filter(([key, slot]) => slot.state === 'in-transit' && !this._times.isRecent(key)).length
-    return fresh < Math.max(1, Math.floor(maxInTransit / Math.max(1, this._times.slowdown) ** 2))
+    if (this._loadTimes.isRecent(slotKey(model, adapter ?? ''))) return true
+    const fresh = [...this._slots].filter(([key, slot]) => slot.state === 'in-transit' && !this._loadTimes.isRecent(key)).length
+    return fresh < Math.max(1, Math.floor(maxInTransit / Math.max(1, this._loadTimes.slowdown) ** 2))
   }
 
   private _weightsFit (model: string): boolean {
@@ -342,66 +350,66 @@
   /**
    * Whether an adapter may be unloaded.
    *
-   * One that a request was promised must not go: the request would be refused by the
-   * engine, or wait for a load that it was told is done.
+   * A reserved adapter must stay loaded: otherwise the engine would refuse its request, or the request would wait for a
+   * load that its entry was notified has ended.
    */
-  private _mayGo (key: string, slot: Slot, now: Ms): boolean {
-    return slot.state === 'loaded' && slot.promisedUntil <= now && !this._demand.waits(key) && !this._uses.inUse(key, now)
+  private _isEvictable (key: string, slot: Slot, now: Ms): boolean {
+    return slot.state === 'loaded' && slot.reservedUntil <= now && !this._demand.isPending(key) && !this._uses.inUse(key, now)
   }
 
-  /** The least used adapter that may go. */
+  /** The evictable adapter with the fewest recent requests. */
   private _victim (now: Ms): Slot | undefined {
     let worst: Slot | undefined
     let least = Infinity
     for (const [key, slot] of this._slots) {
-      if (!this._mayGo(key, slot, now)) continue
-      const worth = this._demand.popularity(key, now)
-      if (worth >= least) continue
+      if (!this._isEvictable(key, slot, now)) continue
+      const popularity = this._demand.popularity(key, now)
+      if (popularity >= least) continue
       worst = slot
-      least = worth
+      least = popularity
     }
     return worst
   }
 
   /**
-   * Takes the engine's word on an order.
+   * Records the outcome of an order.
    *
    * @param action - the order
-   * @param outcome - undefined when no answer came
+   * @param outcome - the engine's answer; undefined when none came
    * @param now - time
    */
   recordOrderOutcome (action: PlanAction & { readonly kind: 'load' | 'unload' }, outcome: EngineOrderOutcome | undefined, now: Ms): void {
-    this._unanswered = undefined
+    this._unansweredOrder = undefined
     switch (outcome) {
       case 'accepted':
       case 'holds':
-        this._repeats = 0
+        this._orderRetries = 0
         if (this._isCounted(action, outcome)) this._orders++
         if (action.kind === 'load') this._loadAccepted(action.target, outcome, now)
         else this._unloadAccepted(action.target, outcome, now)
         return
       case undefined:
-        this._noAnswer(action, now)
+        this._handleNoAnswer(action, now)
         return
       case 'conflict':
-        // Reports lag; the order that was counted may be too young to be in one yet.
-        this._askAgain(now + conflictPause)
+        // Reports lag; one that is asked for at once may not show the order that the engine has counted yet.
+        this._scheduleReport(now + conflictBackoff)
         return
       case 'refused':
       case 'fenced':
       case 'other-instance':
-        this._askAgain(now + reportLag)
+        this._scheduleReport(now + reportLag)
         return
       default: assertNever(outcome)
     }
   }
 
   /**
-   * Whether the engine counts an order that it took.
+   * Whether the engine counts an order that it has accepted.
    *
-   * A load that is under way, asked after again, is accepted once more but changes nothing and is
-   * not counted. Counted here, it made the engine refuse the next order as based on another
-   * view, at the price of a report and of a time in which nothing could be loaded there.
+   * A load order that is sent again while the load is in progress is accepted once more, but changes nothing and is not
+   * counted by the engine. If it were counted here, the engine would refuse the next order as based on another view,
+   * and nothing could be loaded there until the engine has sent a report.
    */
   private _isCounted (action: PlanAction & { readonly kind: 'load' | 'unload' }, outcome: 'accepted' | 'holds'): boolean {
     if (action.kind === 'unload') return true
@@ -411,62 +419,61 @@
   }
 
   /**
-   * An order that got no answer may have been taken, or may be carried out seconds later.
+   * Handles an order without an answer. The engine may have accepted it, or may carry it out seconds later.
    *
-   * Sent again on the same view of the engine, it settles both: taken, the engine has
-   * counted it and refuses the second; not taken, the second is counted and the engine
-   * refuses the first whenever it comes. Until then a load counts as holding its slot,
-   * or one too many could follow.
+   * The same order, sent again on the same view of the engine, settles both cases. If the first one was accepted, the
+   * engine has counted it and refuses the second. If not, the engine counts the second and refuses the first whenever
+   * it arrives. Until then a load counts as occupying its slot, since otherwise the plan could order one load too many.
    */
-  private _noAnswer (action: PlanAction & { readonly kind: 'load' | 'unload' }, now: Ms): void {
-    if (action.kind === 'load') this._noteUnknown(action.target, now)
-    if (++this._repeats > maxRepeats) {
-      this._repeats = 0
-      this._askAgain(now + reportLag)
+  private _handleNoAnswer (action: PlanAction & { readonly kind: 'load' | 'unload' }, now: Ms): void {
+    if (action.kind === 'load') this._recordUnknown(action.target, now)
+    if (++this._orderRetries > maxOrderRetries) {
+      this._orderRetries = 0
+      this._scheduleReport(now + reportLag)
     } else {
-      this._unanswered = action
+      this._unansweredOrder = action
     }
   }
 
-  private _noteUnknown ({ model, adapter, version }: LoadTarget, now: Ms): void {
+  private _recordUnknown ({ model, adapter, version }: LoadTarget, now: Ms): void {
     if (adapter === undefined) this._models.set(model, 'unknown')
-    else if (!this._slots.has(slotKey(model, adapter))) this._slots.set(slotKey(model, adapter), { model, adapter, version, state: 'unknown', orderedAt: now, readyAt: now, late: false, promisedUntil: 0 })
+    else if (!this._slots.has(slotKey(model, adapter))) this._slots.set(slotKey(model, adapter), { model, adapter, version, state: 'unknown', orderedAt: now, readyAt: now, isLate: false, reservedUntil: 0 })
   }
 
   private _loadAccepted ({ model, adapter, version }: LoadTarget, outcome: 'accepted' | 'holds', now: Ms): void {
     if (adapter === undefined) {
       this._models.set(model, outcome === 'holds' ? 'loaded' : 'in-transit')
-      if (outcome === 'accepted') this._askAgain(now + reportLag)
+      if (outcome === 'accepted') this._scheduleReport(now + reportLag)
       return
     }
     const key = slotKey(model, adapter)
     const before = this._slots.get(key)
     const confirms = before?.state === 'in-transit'
-    const slot: Slot = before ?? { model, adapter, version, state: 'in-transit', orderedAt: now, readyAt: now, late: false, promisedUntil: 0 }
+    const slot: Slot = before ?? { model, adapter, version, state: 'in-transit', orderedAt: now, readyAt: now, isLate: false, reservedUntil: 0 }
     slot.version = version ?? slot.version
     this._slots.set(key, slot)
     if (outcome === 'holds') this._loadEnded(key, slot, now)
     else if (confirms) this._loadLate(slot, now)
-    else this._loadBegun(key, slot, now)
+    else this._loadStarted(key, slot, now)
   }
 
-  private _loadBegun (key: string, slot: Slot, now: Ms): void {
+  private _loadStarted (key: string, slot: Slot, now: Ms): void {
     slot.state = 'in-transit'
     slot.orderedAt = now
-    slot.late = false
-    slot.readyAt = now + this._times.expected(key)
+    slot.isLate = false
+    slot.readyAt = now + this._loadTimes.expected(key)
   }
 
   private _loadLate (slot: Slot, now: Ms): void {
-    slot.late = true
-    slot.readyAt = now + this._times.retryAfter(now - slot.orderedAt)
+    slot.isLate = true
+    slot.readyAt = now + this._loadTimes.retryAfter(now - slot.orderedAt)
   }
 
   private _loadEnded (key: string, slot: Slot, now: Ms): void {
-    if (slot.state === 'in-transit') this._times.learn(key, now - slot.orderedAt, slot.late)
+    if (slot.state === 'in-transit') this._loadTimes.record(key, now - slot.orderedAt, slot.isLate)
     slot.state = 'loaded'
-    slot.promisedUntil = Math.max(slot.promisedUntil, now + settleTime)
-    this._times.remember(key)
+    slot.reservedUntil = Math.max(slot.reservedUntil, now + loadedReservation)
+    this._loadTimes.markRecent(key)
   }
 
   private _unloadAccepted ({ model, adapter }: LoadTarget, outcome: 'accepted' | 'holds', now: Ms): void {
@@ -479,6 +486,6 @@
       return
     }
     slot.state = 'unloading'
-    this._askAgain(now + reportLag)
+    this._scheduleReport(now + reportLag)
   }
 }
--- a/packages/decisions/src/lib/engine-assignment.ts
+++ b/packages/decisions/src/lib/engine-assignment.ts
@@ -1,21 +1,21 @@
 /**
- * Spreads engines evenly over the entries that order them.
+ * Distributes engines evenly over the entries that hold them.
  */
 import type { Ms } from '@hazelford/core'
 import { rendezvousOrder } from './rendezvous.js'
 
-/** Who orders what, as one entry sees it. */
+/** The entries and the engines that they hold, as one entry sees them. */
 export interface EngineAssignment {
-  /** Entries that live. */
+  /** Running entries. */
   readonly entries: readonly string[]
   /** Holder of each engine that has one. */
   readonly holders: ReadonlyMap<string, string>
 }
 
-/** An engine to be given to another entry. */
+/** An engine that its holder releases for another entry to claim. */
 export interface Handover { readonly engine: string, readonly to: string }
 
-function heldCounts ({ entries, holders }: EngineAssignment): Map<string, number> {
+function countHeldEngines ({ entries, holders }: EngineAssignment): Map<string, number> {
   const counts = new Map(entries.map(entry => [entry, 0]))
   for (const holder of holders.values()) {
     const count = counts.get(holder)
@@ -25,80 +25,80 @@
 }
 
 /**
- * Says in which order entries claim engines that nobody orders.
+ * Decides in which sequence the entries claim each engine that has no holder.
  *
- * Who holds least goes first, so that the loss of one entry leaves few engines without orders.
- * By rendezvous order alone the entry that outlives a rolling restart ends with every engine; frozen then,
- * it leaves all of them without orders.
+ * Entries that hold the fewest engines come first, so that the loss of one entry leaves few engines without a holder.
+ * By rendezvous order alone, the entry that outlives a rolling restart ends up with every engine; if it is frozen then,
+ * no engine gets any orders.
  *
  * @param free - engines without a holder
- * @param shares - entries and holders
- * @returns for each engine the entries, the first to claim it first; alike on all entries with the same view
+ * @param assignment - entries and holders
+ * @returns for each engine the entries, the first one to claim it first; the same on all entries with the same view
  */
-export function claimSequences (free: readonly string[], shares: EngineAssignment): ReadonlyMap<string, readonly string[]> {
-  const counts = heldCounts(shares)
-  const orders = new Map<string, readonly string[]>()
+export function claimSequences (free: readonly string[], assignment: EngineAssignment): ReadonlyMap<string, readonly string[]> {
+  const counts = countHeldEngines(assignment)
+  const sequences = new Map<string, readonly string[]>()
   for (const engine of [...free].sort()) {
-    const order = [...rendezvousOrder(engine, shares.entries)].sort((a, b) => counts.get(a)! - counts.get(b)!)
-    orders.set(engine, order)
-    const [first] = order
+    const sequence = [...rendezvousOrder(engine, assignment.entries)].sort((a, b) => counts.get(a)! - counts.get(b)!)
+    sequences.set(engine, sequence)
+    const [first] = sequence
     if (first !== undefined) counts.set(first, counts.get(first)! + 1)
   }
-  return orders
+  return sequences
 }
 
-/** Difference in engines held from which one is handed over; at 1 they would go back and forth. */
-const unevenBy = 2
+/** Difference in engines held from which an entry hands one over. At 1, engines would move back and forth. */
+const minImbalance = 2
 
 /**
  * Finds the engine that an entry should hand over.
  *
- * Only the entry that holds most gives, and to the one that holds least: several givers at once
- * would leave the receiver with too many.
+ * Only the entry that holds the most engines hands one over, and to one that holds the fewest: with several entries
+ * handing over at once, the receiver would end up with too many.
  *
  * @param self - the entry that asks
- * @param shares - entries that can take engines, and holders
- * @param mayGo - whether an engine may change hands now
- * @returns undefined when the engines are even, or somebody else has to give
+ * @param assignment - entries that can receive engines, and holders
+ * @param mayMove - whether an engine may change its holder now
+ * @returns undefined when the engines are evenly distributed, or when another entry has to hand one over
  */
-export function pickHandover (self: string, shares: EngineAssignment, mayGo: (engine: string) => boolean): Handover | undefined {
-  const ranked = [...heldCounts(shares)].sort(([a, most], [b, least]) => least - most || (a < b ? -1 : 1))
+export function pickHandover (self: string, assignment: EngineAssignment, mayMove: (engine: string) => boolean): Handover | undefined {
+  const ranked = [...countHeldEngines(assignment)].sort(([a, most], [b, least]) => least - most || (a < b ? -1 : 1))
   const [giver, most] = ranked[0] ?? ['', 0]
   const least = ranked.at(-1)?.[1] ?? 0
-  if (giver !== self || most - least < unevenBy) return undefined
-  const takers = ranked.filter(([, held]) => held === least).map(([entry]) => entry)
-  const engine = [...shares.holders].find(([id, holder]) => holder === self && mayGo(id))?.[0]
-  return engine === undefined ? undefined : { engine, to: rendezvousOrder(engine, takers)[0]! }
+  if (giver !== self || most - least < minImbalance) return undefined
+  const receivers = ranked.filter(([, held]) => held === least).map(([entry]) => entry)
+  const engine = [...assignment.holders].find(([id, holder]) => holder === self && mayMove(id))?.[0]
+  return engine === undefined ? undefined : { engine, to: rendezvousOrder(engine, receivers)[0]! }
 }
 
-/** Left over of a turn, for an order that was still on its way when its sender stopped ordering. */
-const turnMargin: Ms = 300
+/** Added to the turn, for an order that was still on its way when its sender released the engine. */
+const holderTurnMargin: Ms = 300
 
 /**
- * Engines that an entry has ordered and does not any more.
+ * Engines that this entry has released, and may not claim again until a holder's turn is over.
  *
- * Two holders that order one engine in turn look to it like two that don't know of each other: first A, then B, then A
- * again. It shows as orders of A around one of B within a turn. Whoever has left an engine to another
- * therefore leaves it alone until the turn is over; a third entry may claim it at once.
+ * To an engine, two holders that send it orders by turns look like two entries that don't know of each other: it gets
+ * orders of A both before and after orders of B within one turn. So an entry that has released an engine does not claim
+ * it again until the turn is over. A third entry may claim it at once.
  *
- * A restart forgets this, and needs no more: an entry that is told to stop orders nothing from then on and still serves for
- * longer than most of a turn, and one that is killed finds its own keys.
+ * A restart forgets the releases, and needs them no more: an entry that is asked to stop sends no orders from then on
+ * and still serves for longer than most of a turn, and one that is killed finds its own lease keys.
  */
 export class ReclaimCooldown {
-  private readonly _leftAt = new Map<string, Ms>()
+  private readonly _releasedAt = new Map<string, Ms>()
 
-  /** @param _turn - ms within which two holders must not take turns */
-  constructor (private readonly _turn: Ms) {}
+  /** @param _holderTurn - ms within which two holders must not send orders by turns */
+  constructor (private readonly _holderTurn: Ms) {}
 
-  /** Notes that an engine is ordered no more by this entry. */
-  left (engine: string, now: Ms): void { this._leftAt.set(engine, now) }
+  /** Records that this entry has released an engine. */
+  left (engine: string, now: Ms): void { this._releasedAt.set(engine, now) }
 
-  /** Whether an engine that another may have ordered since can be claimed. */
+  /** Whether this entry may claim an engine of which another entry may have been the holder since. */
   mayReclaim (engine: string, now: Ms): boolean {
-    const leftAt = this._leftAt.get(engine)
-    if (leftAt === undefined) return true
-    if (now - leftAt < this._turn + turnMargin) return false
-    this._leftAt.delete(engine)
+    const releasedAt = this._releasedAt.get(engine)
+    if (releasedAt === undefined) return true
+    if (now - releasedAt < this._holderTurn + holderTurnMargin) return false
+    this._releasedAt.delete(engine)
     return true
   }
 }
--- a/packages/decisions/src/lib/upstream-notices.ts
+++ b/packages/decisions/src/lib/upstream-notices.ts
@@ -1,20 +1,20 @@
 /**
- * What is known of an upstream's own word on the requests that it takes.
+ * What an upstream reports in its notices: its request limit, whether it leaves, and its backoff.
  */
 import type { Ms } from '@hazelford/core'
 import type { UpstreamNotice } from '@hazelford/ports'
 
-/** A word on an upstream's request limit. */
+/** An upstream's notice of its request limit. */
 export interface LimitNotice {
-  /** Requests a second from all entries together; undefined for none. */
+  /** Requests per second of all entries together; undefined for no limit. */
   readonly rate: number | undefined
-  /** Since when it is known to hold. */
+  /** Time as of which the limit is known to apply. */
   readonly at: Ms
-  /** Whether the upstream has named a limit at any time. */
+  /** Whether the upstream has ever reported a limit. */
   readonly everNamed: boolean
 }
 
-/** What changed by an answer. */
+/** A change by an answer's notice. `rest`: the upstream asks this entry to back off for `lasts` ms. */
 export type NoticeChange =
   | { readonly kind: 'limit', readonly rate: number | undefined, readonly before: number | undefined }
   | { readonly kind: 'leaving' }
@@ -24,49 +24,50 @@
 export class UpstreamNotices {
   private _limit: LimitNotice = { rate: undefined, at: -Infinity, everNamed: false }
   private _leaving = false
-  private _restsUntil: Ms = -Infinity
+  private _backoffUntil: Ms = -Infinity
 
-  /** The latest word on its limit. */
+  /** The latest notice of its limit. */
   get limit (): LimitNotice { return this._limit }
 
-  /** Whether it has said that it leaves; nothing takes that back. */
+  /** Whether it has reported that it leaves; this is never withdrawn. */
   get leaving (): boolean { return this._leaving }
 
-  /** Until when it wants nothing from this entry. */
-  get backoffUntil (): Ms { return this._restsUntil }
+  /** Time until which it has asked this entry to back off. */
+  get backoffUntil (): Ms { return this._backoffUntil }
 
   /**
-   * Takes the notice of an answer.
+   * Applies the notice of an answer.
    *
-   * @param notice - as the answer says
-   * @param sentAt - when the answer was asked for
+   * @param notice - the notice in the answer
+   * @param sentAt - when the request of the answer was sent
    * @param now - time
    * @returns what it changes
    */
   note ({ rateLimit, leaving, backoff: rest }: UpstreamNotice, sentAt: Ms, now: Ms): readonly NoticeChange[] {
     const changes: NoticeChange[] = []
-    // An answer without a limit may have been on its way since before the limit was named.
+    // An answer without a limit may have been sent before the upstream reported its limit, so it counts as of its
+    // request.
     const limit = this.recordLimit({ rate: rateLimit, at: rateLimit === undefined ? sentAt : now })
     if (limit !== undefined) changes.push(limit)
     if (leaving && this.recordLeaving()) changes.push({ kind: 'leaving' })
-    if (rest !== undefined && now + rest > this._restsUntil) {
-      this._restsUntil = now + rest
+    if (rest !== undefined && now + rest > this._backoffUntil) {
+      this._backoffUntil = now + rest
       changes.push({ kind: 'rest', lasts: rest })
     }
     return changes
   }
 
-  /** @returns whether that is news */
+  /** @returns whether this was not known before */
   recordLeaving (): boolean {
-    const isNews = !this._leaving
+    const isNew = !this._leaving
     this._leaving = true
-    return isNews
+    return isNew
   }
 
   /**
-   * Takes a word on its limit, unless a newer one is known.
+   * Applies a notice of its limit, unless a newer one is known.
    *
-   * @returns what it changes, if anything
+   * @returns the change, if any
    */
   recordLimit ({ rate, at }: Omit<LimitNotice, 'everNamed'>): NoticeChange & { readonly kind: 'limit' } | undefined {
     if (at <= this._limit.at) return undefined
