--- a/packages/direct/src/lib/engine-coordinator.ts
+++ b/packages/direct/src/lib/engine-coordinator.ts
@@ -1,5 +1,5 @@
 /**
- * Claims engines in the store and orders those that this entry holds.
+ * Claims engines in the store and runs an {@link EngineHolder} for each engine that this entry holds.
  */
 import type { CancelTimer, Clock, Log, Ms } from '@hazelford/core'
 import { type RequestedAdapter, claimSequences, type EngineAssignment, ReclaimCooldown, pickHandover } from '@hazelford/decisions'
@@ -11,7 +11,7 @@
 import type { Upstream } from './upstream.js'
 import { holderKey, type PeerAddress, type PeerTable } from './peer-table.js'
 
-/** What the desk needs of its entry. */
+/** What the coordinator needs of its entry. */
 export interface EngineCoordinatorOptions {
   readonly self: PeerAddress
   readonly store: Store
@@ -22,59 +22,59 @@
   readonly engineSpec: (service: string) => EngineSpec | undefined
   readonly control: (upstream: Upstream) => EngineControl
   readonly loaded: (took: Ms) => void
-  /** Ms that a request of a service stays in its place, as measured; 0 when unknown. */
+  /** Mean service time in ms of a request of a service, 0 when unknown. */
   readonly serviceTime: (service: string) => Ms
-  /** Tells the former holder of an engine that it has a new one. */
+  /** Notifies the former holder of an engine that this entry has taken the engine over. */
   readonly notifyTakeover: (former: PeerAddress, msg: TakeoverMessage) => Promise<void>
-  /** Ms within which two holders must not order one engine in turn. */
+  /** Ms within which two holders must not send load and unload orders to one engine in turn. */
   readonly holderTurn: Ms
   /** Ms after the start before the first claim. */
   readonly settleTime?: Ms
 }
 
 /**
- * How long the next in line waits for the one before it to claim an engine. A claim takes a
- * few ms and is seen by the others within a watch's pause.
+ * How long each further entry in the claim order of an engine waits for the entry before it to claim the engine. A
+ * claim takes a few ms, and the other entries receive it within the pause between two watches.
  */
 const claimStep: Ms = 500
 /**
- * Time after the start in which the other entries register; all start within 0.3 s, and one
- * that claimed at once would hold every engine.
+ * Time after the start in which the other entries register. All entries of a deployment start within 0.3 s; one that
+ * claimed at once would become the holder of every engine.
  */
 const defaultSettleTime: Ms = 900
 /**
- * Time beyond a turn for which an entry must be known, and an engine be held, before the engine is handed over: an entry
- * that stops takes about as long to leave.
+ * Time beyond {@link EngineCoordinatorOptions.holderTurn} for which an entry must be listed, and an engine be held,
+ * before the engine is handed over. An entry that stops takes about this long to leave the store.
  */
 const handoverMargin: Ms = 1_000
-/** Pause between two handovers: each must be seen by all before the next is decided. */
+/** Pause between two handovers: all entries must receive one before the next is decided. */
 const handoverPause: Ms = 1_000
 /** Keys that one transaction may name. */
 const claimsAtOnce = 16
 
-/** The engines this entry orders. */
+/** Claims, holds, releases and hands over engines for one entry. */
 export class EngineCoordinator {
   private readonly _holders = new Map<string, EngineHolder>()
   /** Engines without a holder, and since when. */
-  private readonly _free = new Map<string, Ms>()
+  private readonly _unheldSince = new Map<string, Ms>()
   private readonly _startedAt: Ms
-  private readonly _formerHolds: ReclaimCooldown
+  private readonly _reclaimCooldown: ReclaimCooldown
   private readonly _handoverAfter: Ms
   private readonly _settleTime: Ms
-  /** Entries listed, and since when. */
-  private readonly _listed = new Map<string, Ms>()
+  /** Entries listed in the store, and since when. */
+  private readonly _listedSince = new Map<string, Ms>()
   private _claiming = false
-  private _handing = false
-  /** Fences of engines handed over, for as long as the store's last word still lists us as their holder. */
-  private readonly _givenUp = new Map<string, number>()
-  private _handedAt: Ms = -Infinity
+  private _handingOver = false
+  /** Fencing numbers of engines that were handed over, for as long as this entry's view of the store still lists it as their holder. */
+  private readonly _handedOverFences = new Map<string, number>()
+  private _lastHandoverAt: Ms = -Infinity
   private _timer: CancelTimer | undefined
   private _stopped = false
 
   constructor (private readonly _options: EngineCoordinatorOptions, private readonly _lease: () => LeaseRenewer) {
     this._startedAt = _options.clock.now()
     const { holderTurn, settleTime } = _options
-    this._formerHolds = new ReclaimCooldown(holderTurn)
+    this._reclaimCooldown = new ReclaimCooldown(holderTurn)
     this._handoverAfter = holderTurn + handoverMargin
     this._settleTime = settleTime ?? defaultSettleTime
   }
@@ -84,110 +84,113 @@
   /** Loads of the engines that this entry holds. */
   get loads (): readonly LoadDigest[] { return [...this._holders].map(([upstream, { load }]) => ({ upstream, age: 0, ...load })) }
 
-  /** Asks a holder of this entry; undefined when it doesn't hold the engine. */
-  requestLoad (upstream: string, ask: LoadRequest): Promise<LoadRequestOutcome> | undefined { return this._holders.get(upstream)?.requestLoad(ask) }
+  /** Requests an adapter of the holder in this entry; undefined when this entry does not hold the engine. */
+  requestLoad (upstream: string, request: LoadRequest): Promise<LoadRequestOutcome> | undefined { return this._holders.get(upstream)?.requestLoad(request) }
 
-  /** Loads a new version wherever an older one is held here. */
+  /** Loads a new version on every engine held here that has an older one. */
   prefetch (want: RequestedAdapter): void {
     for (const holder of this._holders.values()) {
       if (want.adapter !== undefined && holder.holds(want.model, want.adapter)) holder.prefetch(want)
     }
   }
 
-  /** The lease ended: somebody else may order from now on. */
+  /** Releases all engines, since the lease ended: other entries may become their holders from now on. */
   releaseAll (): void {
-    for (const [id, holder] of this._holders) this._drop(id, holder)
+    for (const [id, holder] of this._holders) this._removeHolder(id, holder)
   }
 
-  /** Claims and orders nothing from here on, though its keys may stand in the store for a while. */
+  /** Stops claiming engines and sending orders, though this entry's keys may stay in the store for a while. */
   stop (): void {
     this._stopped = true
     this.releaseAll()
   }
 
-  /** An engine has started again under its id: it holds nothing and counts orders anew. */
+  /** An engine has restarted under its id: it has no adapters loaded and counts orders from 0 again. */
   restarted (upstream: Upstream): void {
     this._holders.get(upstream.id)?.restart(upstream.record.startedAt, this._options.control(upstream))
   }
 
-  /** Looks at what changed in the store, soon. */
+  /** Compares the engines held with the store after a short delay, so that changes that arrive together cause one run. */
   scheduleReconcile (): void {
     if (this._timer !== undefined) return
     this._timer = this._options.clock.after(20, () => {
       this._timer = undefined
-      this._review()
+      this._reconcile()
     })
   }
 
-  private _review (): void {
+  private _reconcile (): void {
     if (this._stopped) return
-    this._dropLost()
+    this._releaseLost()
     const now = this._options.clock.now()
-    this._noteEntries(now)
+    this._updateListed(now)
     const claims = this._claimable(now)
     if (claims.length > 0) this._claim(claims).catch((error: Error) => this._options.log.warn('loads', 'claim failed.', { error: error.message }))
-    if (this._free.size > 0) this._options.clock.after(claimStep / 2, () => this.scheduleReconcile())
-    else this._considerHandover(now)
+    if (this._unheldSince.size > 0) this._options.clock.after(claimStep / 2, () => this.scheduleReconcile())
+    else this._startHandoverIfDue(now)
   }
 
-  private _noteEntries (now: Ms): void {
+  private _updateListed (now: Ms): void {
     const { nodes } = this._options.peers
-    for (const node of this._listed.keys()) if (!nodes.includes(node)) this._listed.delete(node)
-    for (const node of nodes) if (!this._listed.has(node)) this._listed.set(node, now)
+    for (const node of this._listedSince.keys()) if (!nodes.includes(node)) this._listedSince.delete(node)
+    for (const node of nodes) if (!this._listedSince.has(node)) this._listedSince.set(node, now)
   }
 
-  /** Entries that have been listed long enough to be given engines, and who holds what. */
+  /** Entries that have been listed long enough to be given engines, and the holder of each engine. */
   private _settledShares (now: Ms): EngineAssignment {
-    const entries = [...this._listed].filter(([, since]) => now - since >= this._handoverAfter).map(([node]) => node)
+    const entries = [...this._listedSince].filter(([, since]) => now - since >= this._handoverAfter).map(([node]) => node)
     return { entries, holders: this._knownHolders() }
   }
 
-  /** Holders of engines that live; keys of those that are gone stay until their holder's lease ends. */
+  /** Holders of the engines that are running. The key of an engine that is gone stays until its holder's lease ends. */
   private _knownHolders (): ReadonlyMap<string, string> {
-    const living = new Set(this._engines().map(({ id }) => id))
-    return new Map(this._options.peers.holders.filter(({ upstream }) => living.has(upstream)).map(({ upstream, node }) => [upstream, node]))
+    const running = new Set(this._engines().map(({ id }) => id))
+    return new Map(this._options.peers.holders.filter(({ upstream }) => running.has(upstream)).map(({ upstream, node }) => [upstream, node]))
   }
 
-  private _considerHandover (now: Ms): void {
-    if (this._handing || this._claiming || now - this._handedAt < handoverPause || !this._lease().valid) return
+  private _startHandoverIfDue (now: Ms): void {
+    if (this._handingOver || this._claiming || now - this._lastHandoverAt < handoverPause || !this._lease().valid) return
     const handover = pickHandover(this._options.self.node, this._settledShares(now), engine => {
       const holder = this._holders.get(engine)
       return holder !== undefined && now - holder.heldSince >= this._handoverAfter
     })
     if (handover === undefined) return
-    this._handing = true
+    this._handingOver = true
     this._handOver(handover.engine, handover.to)
       .catch((error: Error) => this._options.log.warn('loads', 'handover failed.', { upstream: handover.engine, error: error.message }))
       .finally(() => {
-        this._handing = false
-        this._handedAt = this._options.clock.now()
+        this._handingOver = false
+        this._lastHandoverAt = this._options.clock.now()
         this._options.clock.after(handoverPause, () => this.scheduleReconcile())
       })
   }
 
-  /** Gives an engine up, once no order of ours is under way there: the next holder's come after all of ours. */
+  /**
+   * Hands an engine over once no order of this entry is in progress there, so that the next holder's orders come after
+   * all of this entry's.
+   */
   private async _handOver (upstream: string, to: string): Promise<void> {
     const { store, log } = this._options
     const holder = this._holders.get(upstream)
     if (holder === undefined) return
     await holder.finish()
-    this._drop(upstream, holder)
+    this._removeHolder(upstream, holder)
     const key = holderKey(upstream)
     const outcome = await store.commit({ conditions: [{ key, revision: holder.fence }], puts: [], removals: [key] })
-    // Unanswered or refused, our own key is still listed here and the engine is claimed anew.
-    if (outcome.isOk() && outcome.value.kind === 'stored') this._givenUp.set(upstream, holder.fence)
+    // If the store did not answer or refused, this entry's key is still listed and the engine is claimed again.
+    if (outcome.isOk() && outcome.value.kind === 'stored') this._handedOverFences.set(upstream, holder.fence)
     log.info('loads', 'engine handed over.', { upstream, fence: holder.fence, to, outcome: outcome.isOk() ? outcome.value.kind : outcome.error.message })
   }
 
-  /** Drops engines that leave or are gone, or that somebody else holds by now. */
-  private _dropLost (): void {
+  /** Releases engines that are leaving or gone, and those that another entry holds by now. */
+  private _releaseLost (): void {
     const { peers } = this._options
-    const living = new Set([...this._options.upstreams()].filter(({ record }) => record.state === 'ready').map(({ id }) => id))
+    const running = new Set([...this._options.upstreams()].filter(({ record }) => record.state === 'ready').map(({ id }) => id))
     for (const [id, holder] of this._holders) {
       const record = peers.holder(id)
-      const taken = record !== undefined && record.fence > holder.fence
-      if (living.has(id) && !taken) continue
-      this._release(id, holder, taken ? 'held by another' : 'leaving or gone', record?.fence)
+      const isTakenOver = record !== undefined && record.fence > holder.fence
+      if (running.has(id) && !isTakenOver) continue
+      this._release(id, holder, isTakenOver ? 'held by another' : 'leaving or gone', record?.fence)
     }
   }
 
@@ -202,21 +205,21 @@
     for (const upstream of this._engines()) {
       if (this._holders.has(upstream.id)) continue
       const holder = peers.holder(upstream.id)
-      // Our own key of an earlier life: nobody else orders this engine.
-      const ours = holder?.node === self.node
-      if (holder !== undefined && (!ours || this._givenUp.get(upstream.id) === holder.fence)) continue
+      // The key is of an earlier incarnation of this entry, so no other entry sends orders to this engine.
+      const isOwn = holder?.node === self.node
+      if (holder !== undefined && (!isOwn || this._handedOverFences.get(upstream.id) === holder.fence)) continue
       seen.add(upstream.id)
-      const since = this._free.get(upstream.id) ?? now
-      this._free.set(upstream.id, since)
+      const since = this._unheldSince.get(upstream.id) ?? now
+      this._unheldSince.set(upstream.id, since)
       const rank = orders.get(upstream.id)?.indexOf(self.node) ?? -1
-      const mayReturn = peers.former(upstream.id)?.node === self.node || this._formerHolds.mayReclaim(upstream.id, now)
-      if (ours || (!settling && mayReturn && rank >= 0 && now - since >= rank * claimStep)) claimable.push(upstream)
+      const mayReturn = peers.former(upstream.id)?.node === self.node || this._reclaimCooldown.mayReclaim(upstream.id, now)
+      if (isOwn || (!settling && mayReturn && rank >= 0 && now - since >= rank * claimStep)) claimable.push(upstream)
     }
-    for (const id of this._free.keys()) if (!seen.has(id)) this._free.delete(id)
+    for (const id of this._unheldSince.keys()) if (!seen.has(id)) this._unheldSince.delete(id)
     return claimable.slice(0, claimsAtOnce)
   }
 
-  /** Engines that can be ordered. */
+  /** Engines that accept load and unload orders. */
   private _engines (): readonly Upstream[] {
     return [...this._options.upstreams()].filter(({ record }) => record.state === 'ready' && this._options.engineSpec(record.service) !== undefined)
   }
@@ -228,7 +231,7 @@
   private async _claim (upstreams: readonly Upstream[]): Promise<void> {
     const { store, self, peers, log } = this._options
     const { lease } = this._lease()
-    if (this._claiming || this._handing || lease === undefined) return
+    if (this._claiming || this._handingOver || lease === undefined) return
     this._claiming = true
     const value = JSON.stringify(self)
     const txn = {
@@ -238,12 +241,12 @@
     }
     const outcome = await store.commit(txn)
     if (outcome.isErr()) {
-      // If it took effect after all, our own key comes back by the watch and is claimed anew.
+      // If the claim took effect after all, the watch brings this entry's key and the engine is claimed again.
       log.info('loads', 'claim unanswered.', { upstreams: upstreams.map(({ id }) => id), cause: outcome.error.message })
     } else if (outcome.value.kind === 'stored') {
       const { revision } = outcome.value
-      await Promise.all(upstreams.map(({ id }) => this._tellFormer(id, revision)))
-      if (this._lease().lease === lease && !this._stopped) for (const upstream of upstreams) this._hold(upstream, revision)
+      await Promise.all(upstreams.map(({ id }) => this._notifyFormerHolder(id, revision)))
+      if (this._lease().lease === lease && !this._stopped) for (const upstream of upstreams) this._startHolding(upstream, revision)
     } else {
       log.info('loads', 'claim lost.', { upstreams: upstreams.map(({ id }) => id), outcome: outcome.value.kind })
     }
@@ -252,22 +255,23 @@
   }
 
   /**
-   * Tells the former holder before the first order.
+   * Notifies the former holder of an engine before the first order of this entry.
    *
-   * The store may take away the keys of an entry that it turns away, long before the lease would have
-   * ended. That entry goes on ordering, its orders come after ours with an older fencing token, and on
-   * engines that don't check it both hold. It can't hear the store, but mostly it hears us.
+   * The store may remove the keys of an entry whose calls it rejects long before that entry's lease would have ended.
+   * The entry keeps sending orders; they reach the engine after the new holder's with a lower fencing number, and
+   * engines that do not check it load for both. The entry cannot read the store, but in most cases it can be reached
+   * by its peers.
    */
-  private async _tellFormer (upstream: string, fence: number): Promise<void> {
-    const { peers, self, log, notifyTakeover: tellTaken } = this._options
+  private async _notifyFormerHolder (upstream: string, fence: number): Promise<void> {
+    const { peers, self, log, notifyTakeover } = this._options
     const former = peers.former(upstream)
     if (former === undefined || former.node === self.node) return
-    await tellTaken(former, { upstream, fence }).catch((error: Error) => {
+    await notifyTakeover(former, { upstream, fence }).catch((error: Error) => {
       log.info('loads', 'former holder does not answer.', { upstream, fence, former: former.node, formerFence: former.fence, cause: error.message })
     })
   }
 
-  /** Stops ordering an engine that another entry has claimed since. */
+  /** Releases an engine that another entry has claimed with a higher fencing number. */
   receiveTakeover ({ upstream, fence }: TakeoverMessage): void {
     const holder = this._holders.get(upstream)
     if (holder === undefined || holder.fence >= fence) return
@@ -275,23 +279,23 @@
   }
 
   private _release (upstream: string, holder: EngineHolder, cause: 'held by another' | 'leaving or gone', newFence: number | undefined): void {
-    this._drop(upstream, holder)
+    this._removeHolder(upstream, holder)
     this._options.log.info('loads', 'engine released.', { upstream, fence: holder.fence, cause, newFence })
   }
 
-  /** Ends the orders to an engine, and remembers when. */
-  private _drop (upstream: string, holder: EngineHolder): void {
+  /** Stops the holder of an engine and starts the cooldown in which this entry does not claim the engine again. */
+  private _removeHolder (upstream: string, holder: EngineHolder): void {
     holder.release()
     this._holders.delete(upstream)
-    this._formerHolds.left(upstream, this._options.clock.now())
+    this._reclaimCooldown.left(upstream, this._options.clock.now())
   }
 
-  private _hold (upstream: Upstream, fence: number): void {
-    const { clock, log, self, control, engineSpec, serviceTime: stay, loaded } = this._options
+  private _startHolding (upstream: Upstream, fence: number): void {
+    const { clock, log, self, control, engineSpec, serviceTime, loaded } = this._options
     const spec = engineSpec(upstream.record.service)
     if (spec === undefined) return
-    this._free.delete(upstream.id)
-    this._givenUp.delete(upstream.id)
+    this._unheldSince.delete(upstream.id)
+    this._handedOverFences.delete(upstream.id)
     this._holders.get(upstream.id)?.release()
     this._holders.set(upstream.id, new EngineHolder({
       upstream: upstream.id,
@@ -304,7 +308,7 @@
       log,
       mayOrder: () => this._lease().valid,
       backoffUntil: () => upstream.notices.backoffUntil,
-      serviceTime: () => stay(upstream.record.service),
+      serviceTime: () => serviceTime(upstream.record.service),
       loaded
     }))
     log.info('loads', 'engine held.', { upstream: upstream.id, fence })
--- a/packages/direct/src/lib/engine-holder.ts
+++ b/packages/direct/src/lib/engine-holder.ts
@@ -1,5 +1,5 @@
 /**
- * Orders one engine, while this entry holds it.
+ * Sends load and unload orders to one engine while this entry holds it.
  */
 import { type Clock, type Log, type Ms, sleep } from '@hazelford/core'
 import { AdapterPlan, type RequestedAdapter, type PlanAction, type Readiness, requestedAdapterKey } from '@hazelford/decisions'
@@ -8,63 +8,66 @@
 import { LivenessProbe } from './liveness-probe.js'
 import { RecentLoads, type RecentLoadsUpdate } from './recent-loads.js'
 
-/** Why an adapter can't be had at an engine now. */
+/** Why an adapter is not available at an engine now. */
 export type UnavailableCause =
-  /** Every slot is in use: it can be had once requests have ended. */
+  /** Every adapter slot is in use; one becomes free once requests have ended. */
   | 'every slot is in use'
-  /** Its batch is full and others wait before it. */
+  /** Its batch is full and other requests wait for a batch slot. */
   | 'every place is in use'
-  /** The engine itself gives no answers. */
+  /** The engine does not answer its holder. */
   | 'the engine does not answer'
-  /** It has asked its holder to be left alone for a while. */
+  /** The engine has asked its holder to back off. */
   | 'the engine wants rest'
-  /** Who was asked does not order this engine, or not any more. */
+  /** The entry that received the request does not hold this engine, or no longer does. */
   | 'not held here'
   | 'its holder does not answer'
   | 'nobody orders this engine'
 
-/** What a holder says to an ask: it can be used, it will be, or it can't be had here now. */
-export type LoadRequestOutcome = AskAnswer & { readonly news?: RecentLoadsUpdate }
+/** A holder's answer to a load request: the adapter is usable, will be, or is not available here now. */
+export type LoadRequestOutcome = LoadRequestAnswer & { readonly news?: RecentLoadsUpdate }
 
-type AskAnswer =
-  /** `atDoor`: Ms of this ask that the prompt waited to be let in, after its adapter was there. */
+type LoadRequestAnswer =
+  /** `atDoor`: ms of this call that the prompt waited for admission after its adapter was loaded. */
   | Readiness & { readonly kind: 'ready', readonly load?: EngineLoad, readonly atDoor?: Ms }
   | { readonly kind: 'coming', readonly atDoor?: Ms }
-  /** `line`: adapters that wait for a slot there already, or requests that wait for a place. */
+  /** `line`: adapters that wait for an adapter slot there already, or requests that wait for a batch slot. */
   | { readonly kind: 'unavailable', readonly cause: UnavailableCause, readonly line?: number, readonly load?: EngineLoad }
 
-/** What an entry asks of a holder. */
+/** What an entry requests of a holder. */
 export interface LoadRequest {
   readonly want: RequestedAdapter
-  /** 0 is the most urgent. */
+  /** Priority; 0 is the most urgent. */
   readonly urgency: number
-  /** Ms that the request can still wait, beyond this call too. */
+  /** Longest wait of the request in ms, beyond this call too. */
   readonly patience: Ms
-  /** Ms after which this call wants an answer. */
+  /** Ms after which this call must be answered. */
   readonly answerIn: Ms
-  /** The engine has just refused a request for lack of it. */
+  /** Whether the engine has just refused a request because the adapter was not loaded. */
   readonly missing: boolean
-  /** Whether to stand in line when every slot is in use. */
+  /** Whether to queue for an adapter slot when every one is in use. */
   readonly mayWait: boolean
-  /** Whether the same request has asked here before. */
+  /** Whether the same request was sent to this holder before. */
   readonly repeated: boolean
-  /** Who asks. */
+  /** Name of the entry that sends it. */
   readonly entry: string
-  /** `model/adapter` of what its open requests use at this engine. */
+  /** `model/adapter` of each adapter that the entry's open requests use at this engine. */
   readonly uses: readonly string[]
-  /** Its open requests there. */
+  /** The entry's open requests there. */
   readonly outstanding: number
-  /** The request's prompt, to be let in when the engine can read it; undefined asks for the adapter alone. */
+  /** The request's prompt, to be admitted when the engine can read it; undefined requests the adapter alone. */
   readonly prompt?: { readonly request: string, readonly tokens: number, readonly dueIn: Ms }
-  /** Streams that ended there since its last word, and how many of them paused longer than is on time. */
+  /** Streams that ended there since the entry's last report, and how many of them had a pause above the route's target. */
   readonly streams: number
   readonly paused: number
-  /** What it has heard of the engine's loads; see {@link RecentLoads}. */
+  /** Number of recent loads of the engine that the entry has received; see {@link RecentLoads}. */
   readonly heard: number
 }
 
-/** Expected wait for a place beyond which another engine is asked first: there the adapter takes as long from the weight store. */
-const longestPlaceWait: Ms = 250
+/**
+ * Expected wait for a batch slot beyond which another engine is tried first: loading the adapter there from the weight
+ * store takes about as long.
+ */
+const longestSlotWait: Ms = 250
 
 /** What a holder needs. */
 export interface EngineHolderOptions {
@@ -73,15 +76,15 @@
   readonly fence: number
   readonly spec: EngineSpec
   readonly control: EngineControl
-  /** Start of the engine, if it says so. */
+  /** Start time of the engine, if its record has one. */
   readonly startedAt?: number
   readonly clock: Clock
   readonly log: Log
-  /** Whether the lease on the engine surely holds. */
+  /** Whether the lease on the engine is certain to be valid. */
   readonly mayOrder: () => boolean
-  /** Until when the engine wants nothing from this entry. */
+  /** Until when the engine has asked this entry to back off. */
   readonly backoffUntil: () => Ms
-  /** Ms that a request stays in its place, as measured; 0 when unknown. */
+  /** Mean service time of a request in ms, 0 when unknown. */
   readonly serviceTime: () => Ms
   readonly loaded: (took: Ms) => void
 }
@@ -89,25 +92,25 @@
 interface Waiter {
   readonly want: RequestedAdapter
   readonly since: Ms
-  readonly resolve: (answer: AskAnswer) => void
+  readonly resolve: (answer: LoadRequestAnswer) => void
   cancel: () => void
 }
 
-/** How long a new version may wait for a moment without requests on the old one. */
-const prefetchLasts: Ms = 4_000
-/** How often a holder that finishes looks whether its last order was answered. */
+/** How long the prefetch of a new version may wait for a moment without requests on the old one. */
+const prefetchWait: Ms = 4_000
+/** How often a holder that finishes checks whether its last order was answered. */
 const finishPoll: Ms = 5
-/** Pause before an order is tried again while the lease is in doubt. */
-const doubtPause: Ms = 200
+/** Pause before an order or a report is retried, also while the lease may have ended. */
+const retryPause: Ms = 200
 
-const wantsRest: AskAnswer = { kind: 'unavailable', cause: 'the engine wants rest' }
+const backoffAnswer: LoadRequestAnswer = { kind: 'unavailable', cause: 'the engine wants rest' }
 
 /** Runs an {@link AdapterPlan} against its engine. */
 export class EngineHolder {
-  /** When it began to hold the engine. */
+  /** When this entry became the holder. */
   readonly heldSince: Ms
   private _plan: AdapterPlan
-  private _news = new RecentLoads()
+  private _recentLoads = new RecentLoads()
   private _control: EngineControl
   private readonly _liveness: LivenessProbe
   private _startedAt: number | undefined
@@ -123,56 +126,56 @@
     this._admission = this._createAdmission()
     this._control = _options.control
     this._startedAt = _options.startedAt
-    this._liveness = new LivenessProbe({ ..._options, mayProbe: () => this._rest <= 0, probe: async () => (await this._control.report()).isOk() })
-    this._pump()
+    this._liveness = new LivenessProbe({ ..._options, mayProbe: () => this._backoff <= 0, probe: async () => (await this._control.report()).isOk() })
+    this._runPlan()
   }
 
-  /** Ms for which the engine wants nothing from this entry; 0 or less when it takes orders. */
-  private get _rest (): Ms { return this._options.backoffUntil() - this._options.clock.now() }
+  /** Remaining backoff of the engine in ms; 0 or less when it accepts orders. */
+  private get _backoff (): Ms { return this._options.backoffUntil() - this._options.clock.now() }
 
   get fence (): number { return this._options.fence }
   get slotsUsed (): number { return this._plan.slotsUsed }
 
-  /** Asks for an adapter and waits until it can be used, or for as long as the ask says. */
-  async requestLoad (ask: LoadRequest): Promise<LoadRequestOutcome> {
+  /** Requests an adapter and waits until it is usable, or for as long as the request allows. */
+  async requestLoad (request: LoadRequest): Promise<LoadRequestOutcome> {
     if (this._released) return { kind: 'unavailable', cause: 'not held here' }
-    const answer = await this._answer(ask)
-    return { ...answer, news: this._news.since(ask.heard) }
+    const answer = await this._answer(request)
+    return { ...answer, news: this._recentLoads.since(request.heard) }
   }
 
-  private async _answer (ask: LoadRequest): Promise<AskAnswer> {
+  private async _answer (request: LoadRequest): Promise<LoadRequestAnswer> {
     const { clock } = this._options
-    const { want, entry, prompt } = ask
+    const { want, entry, prompt } = request
     if (this._liveness.silent) return { kind: 'unavailable', cause: 'the engine does not answer' }
-    this._admission.note(entry, ask.outstanding)
-    this._admission.recordStreams(ask.streams, ask.paused)
+    this._admission.note(entry, request.outstanding)
+    this._admission.recordStreams(request.streams, request.paused)
     const startedAt = clock.now()
-    const outcome = await this._await(ask)
+    const outcome = await this._awaitAdapter(request)
     if (outcome.kind !== 'ready') return outcome
     const readyAt = clock.now()
     if (prompt === undefined) return { ...outcome, load: this.load }
-    if (!ask.mayWait && this._admission.slotWait > longestPlaceWait) return { kind: 'unavailable', cause: 'every place is in use', line: this._admission.queued, load: this.load }
-    const left = ask.answerIn - (readyAt - startedAt)
+    if (!request.mayWait && this._admission.slotWait > longestSlotWait) return { kind: 'unavailable', cause: 'every place is in use', line: this._admission.queued, load: this.load }
+    const left = request.answerIn - (readyAt - startedAt)
     if (want.adapter !== undefined) this._plan.extendReservation(want.model, want.adapter, readyAt + left)
-    if (!await this._admission.admit({ entry, urgency: ask.urgency, ...prompt }, left)) return { kind: 'coming', atDoor: clock.now() - readyAt }
+    if (!await this._admission.admit({ entry, urgency: request.urgency, ...prompt }, left)) return { kind: 'coming', atDoor: clock.now() - readyAt }
     const now = clock.now()
     if (want.adapter !== undefined) this._plan.addUse(entry, want.model, want.adapter, now)
     return { ...outcome, atDoor: now - readyAt, load: this.load }
   }
 
   private _createAdmission (): EngineAdmission {
-    const { clock, spec, serviceTime: stay } = this._options
-    return new EngineAdmission(clock, spec.slots, stay)
+    const { clock, spec, serviceTime } = this._options
+    return new EngineAdmission(clock, spec.slots, serviceTime)
   }
 
-  /** What is there now. */
+  /** The engine's load now. */
   get load (): EngineLoad { return this._admission.load }
 
-  private _await ({ want, urgency, patience, answerIn, missing, mayWait, repeated, entry, uses, prompt }: LoadRequest): Promise<AskAnswer> {
+  private _awaitAdapter ({ want, urgency, patience, answerIn, missing, mayWait, repeated, entry, uses, prompt }: LoadRequest): Promise<LoadRequestAnswer> {
     const { clock } = this._options
     const now = clock.now()
     this._plan.recordUse(entry, uses, now)
-    if (this._rest > 0) return Promise.resolve(this._plan.reserve(want, now) ?? wantsRest)
+    if (this._backoff > 0) return Promise.resolve(this._plan.reserve(want, now) ?? backoffAnswer)
     const readiness = this._plan.requestAdapter(want, { urgency, until: now + patience, dueAt: now + (prompt?.dueIn ?? Infinity), missing, mayWait, repeated }, now)
     if (readiness.kind === 'ready') return Promise.resolve(readiness)
     if (readiness.kind === 'occupied') return Promise.resolve({ kind: 'unavailable', cause: 'every slot is in use', line: this._plan.waiting })
@@ -180,33 +183,34 @@
       const waiter: Waiter = { want, since: now, resolve, cancel: () => {} }
       waiter.cancel = clock.after(answerIn, () => this._settle(waiter, { kind: 'coming' }))
       this._waiters.push(waiter)
-      this._pump()
+      this._runPlan()
     })
   }
 
-  /** Takes an entry's word on what it uses, and on its open requests. */
+  /** Applies an entry's report on the adapters that it uses and on its open requests. */
   recordUse (entry: string, uses: readonly string[], outstanding: number | undefined): void {
     this._plan.recordUse(entry, uses, this._options.clock.now())
     if (outstanding !== undefined) this._admission.note(entry, outstanding)
-    this._pump()
+    this._runPlan()
   }
 
-  /** Loads an adapter that nobody waits for yet, such as a new version of one that is held. */
+  /** Loads an adapter that no request waits for yet, such as a new version of one that is loaded. */
   prefetch (want: RequestedAdapter): void {
     if (this._released) return
     const now = this._options.clock.now()
-    this._plan.requestAdapter(want, { urgency: Number.MAX_SAFE_INTEGER, until: now + prefetchLasts, dueAt: Infinity, missing: false, mayWait: true, repeated: false }, now)
-    this._pump()
+    this._plan.requestAdapter(want, { urgency: Number.MAX_SAFE_INTEGER, until: now + prefetchWait, dueAt: Infinity, missing: false, mayWait: true, repeated: false }, now)
+    this._runPlan()
   }
 
-  /** Versions held of an adapter. */
+  /** Whether an adapter occupies a slot, in whichever version. */
   holds (model: string, adapter: string): boolean { return this._plan.hasAdapterSlot(model, adapter) }
 
   /**
-   * The engine has started again.
+   * Resets the plan after the engine has restarted.
    *
-   * Its plan says what the former incarnation held: promised on, requests would be refused for adapters that are not there,
-   * and orders based on the former one's count would be refused. What is under way there changes nothing here.
+   * The plan describes the former incarnation. With it, requests would be sent for adapters that are no longer loaded,
+   * and orders numbered by the former incarnation's count would be refused. Orders in progress at the former
+   * incarnation do not affect the new plan.
    *
    * @param startedAt - of the new incarnation
    * @param control - of the new incarnation
@@ -218,18 +222,18 @@
     this._options.log.info('loads', 'engine started again.', { upstream: this._options.upstream, fence: this.fence, startedAt, before: this._startedAt })
     this._startedAt = startedAt
     this._plan = new AdapterPlan(this._options.spec)
-    this._news = new RecentLoads()
+    this._recentLoads = new RecentLoads()
     this._admission = this._createAdmission()
     for (const waiter of [...this._waiters]) this._settle(waiter, { kind: 'coming' })
-    this._pump()
+    this._runPlan()
   }
 
-  /** The engine has asked to be left alone: what needs an order there is not waited for. */
+  /** The engine has asked to back off: answers all requests that would need an order to it. */
   startBackoff (): void {
-    for (const waiter of [...this._waiters]) this._settle(waiter, wantsRest)
+    for (const waiter of [...this._waiters]) this._settle(waiter, backoffAnswer)
   }
 
-  /** Orders nothing more. */
+  /** Stops sending orders. */
   release (): void {
     this._released = true
     this._liveness.stop()
@@ -237,13 +241,13 @@
     for (const waiter of [...this._waiters]) this._settle(waiter, { kind: 'unavailable', cause: 'not held here' })
   }
 
-  /** Orders nothing more; resolves once no order is under way. */
+  /** Stops sending orders; resolves once none is in progress. */
   async finish (): Promise<void> {
     this.release()
     while (this._busy) await sleep(this._options.clock, finishPoll)
   }
 
-  private _settle (waiter: Waiter, outcome: AskAnswer): void {
+  private _settle (waiter: Waiter, outcome: LoadRequestAnswer): void {
     if (!this._waiters.includes(waiter)) return
     this._waiters = this._waiters.filter(other => other !== waiter)
     waiter.cancel()
@@ -259,8 +263,8 @@
     }
   }
 
-  /** Carries out the plan until there is nothing to do before some time. */
-  private _pump (): void {
+  /** Carries out the plan until its next action is due later. */
+  private _runPlan (): void {
     if (this._busy || this._released) return
     this._wake?.()
     const { clock } = this._options
@@ -272,22 +276,22 @@
       if (until !== Infinity) this._sleep(until - now)
       return
     }
-    if (this._rest > 0) {
-      this._sleep(this._rest)
+    if (this._backoff > 0) {
+      this._sleep(this._backoff)
       return
     }
     if (!this._options.mayOrder()) {
-      this._sleep(doubtPause)
+      this._sleep(retryPause)
       return
     }
     this._busy = true
-    this._carryOut(action).then(() => {
+    this._execute(action).then(() => {
       this._busy = false
-      this._pump()
+      this._runPlan()
     }, (error: Error) => {
       this._busy = false
       this._options.log.warn('loads', 'order failed.', { upstream: this._options.upstream, error: error.message })
-      this._sleep(doubtPause)
+      this._sleep(retryPause)
     })
     const ready = this._plan.nextLoadDueAt(now)
     if (ready !== undefined) this._sleep(ready - now)
@@ -297,7 +301,7 @@
     const cancel = this._options.clock.after(Math.max(1, delay), () => {
       this._wake = undefined
       if (this._busy) this._answerWaiters()
-      else this._pump()
+      else this._runPlan()
     })
     this._wake = () => {
       cancel()
@@ -305,7 +309,7 @@
     }
   }
 
-  private async _carryOut (action: PlanAction & { readonly kind: 'load' | 'unload' | 'report' }): Promise<void> {
+  private async _execute (action: PlanAction & { readonly kind: 'load' | 'unload' | 'report' }): Promise<void> {
     if (action.kind === 'report') await this._report()
     else await this._order(action)
   }
@@ -318,7 +322,7 @@
     if (plan !== this._plan) return
     if (report.isErr()) {
       log.info('loads', 'no report.', { upstream, cause: report.error.message })
-      await sleep(clock, doubtPause)
+      await sleep(clock, retryPause)
       return
     }
     this._liveness.heard()
@@ -327,11 +331,11 @@
     if (incarnation === 'later') return this.restart(startedAt, this._control)
     if (incarnation === 'earlier') {
       log.info('loads', 'report of an earlier incarnation dropped.', { upstream, startedAt, known: this._startedAt })
-      await sleep(clock, doubtPause)
+      await sleep(clock, retryPause)
       return
     }
     const held = models.reduce((sum, { adapters }) => sum + adapters.length, 0)
-    log.info('loads', 'report taken.', { upstream, orders, counted: this._plan.orders, held, coming: coming.length, took: Math.round(clock.now() - askedAt) })
+    log.info('loads', 'report applied.', { upstream, orders, counted: this._plan.orders, held, coming: coming.length, took: Math.round(clock.now() - askedAt) })
     plan.applyReport(report.value, askedAt)
   }
 
@@ -347,11 +351,11 @@
     const outcome = answer.isOk() ? answer.value : undefined
     plan.recordOrderOutcome(action, outcome, clock.now())
     const { model, adapter, version } = action.target
-    if (action.kind === 'load' && outcome === 'holds' && adapter !== undefined) this._news.add({ key: requestedAdapterKey({ model, adapter }), version: version ?? 0 })
-    this._note(action.kind, action.target, outcome)
+    if (action.kind === 'load' && outcome === 'holds' && adapter !== undefined) this._recentLoads.add({ key: requestedAdapterKey({ model, adapter }), version: version ?? 0 })
+    this._logOrder(action.kind, action.target, outcome)
   }
 
-  private _note (kind: 'load' | 'unload', target: LoadTarget, outcome: EngineOrderOutcome | undefined): void {
+  private _logOrder (kind: 'load' | 'unload', target: LoadTarget, outcome: EngineOrderOutcome | undefined): void {
     const { log, upstream, fence } = this._options
     log.info('loads', `${kind} ${outcome ?? 'unanswered'}.`, { upstream, ...target, fence, afterOrders: this._plan.orders, waiting: this._plan.waiting, slotsUsed: this._plan.slotsUsed })
   }
