--- a/packages/direct/src/lib/credit-queue.ts
+++ b/packages/direct/src/lib/credit-queue.ts
@@ -1,28 +1,28 @@
 /**
- * Requests that wait for credit of the accounts that one keeper counts.
+ * Requests that wait for credit of the accounts that one allocator counts.
  */
 import { assertNever, type CancelTimer, type Clock, type Instant, instantOf, type Log, type Ms } from '@hazelford/core'
 import { type UsageGrant, UsagePool, type UsageReport, type UsageRow } from '@hazelford/decisions'
 
 /** Whether a request's usage is within its account's limit. */
 export type Admission =
-  /** `refund` gives the usage back, once, when the request has not run. */
+  /** `refund` returns the usage, once, when the request has not run. */
   | { readonly kind: 'admitted', readonly refund: () => void }
   | { readonly kind: 'over-limit', readonly retryAfter: Ms }
 
-/** What a line needs. */
+/** What a queue needs. */
 export interface CreditQueueOptions {
   readonly clock: Clock
   readonly log: Log
   /** Name of the entry. */
   readonly node: string
-  /** Since when this process runs, and has reported to nobody. */
+  /** When this process started; it has reported to no allocator before. */
   readonly startedAt: Ms
-  /** Whether anything is limited. */
+  /** Whether any account is limited. */
   readonly isNeeded: () => boolean
-  /** Whether requests wait for credit that comes soon; else they are refused once the keeper has said that it has none. */
+  /** Whether requests wait for credit that is expected soon; else they are refused once the allocator has none. */
   readonly waitsForCredit: boolean
-  /** Reports to whoever counts; rejects for a fault of this entry only. */
+  /** Reports to the allocator; rejects only for a fault of this entry. */
   readonly report: (report: UsageReport) => Promise<readonly UsageGrant[]>
 }
 
@@ -32,26 +32,29 @@
   readonly decide: (admission: Admission) => void
 }
 
-/** A keeper counts an entry for as long as it hears it; the entry's part of all rates hangs on that. */
+/**
+ * Interval of reports. An allocator counts an entry only while it receives reports of it, and the entry's share of all
+ * rates depends on that.
+ */
 const reportEvery: Ms = 400
-/** Least time between two reports that nobody waits for. */
+/** Least time between two reports that no request waits for. */
 const reportPause: Ms = 100
-/** Pause before a keeper that had none is asked again for those who are held. */
-const heldPause: Ms = 100
-/** Longest time that a request waits for credit; the keeper's word says at once when it would be longer. */
+/** Pause before an allocator without credit is asked again for the requests that wait. */
+const noCreditPause: Ms = 100
+/** Longest time that a request waits for credit; when the wait would be longer, the allocator's answer says so at once. */
 const longestWait: Ms = 1_000
-/** Shortest time after which a refused caller may return. */
-const leastRetryAfter: Ms = 100
-/** Spread of the times at which refused callers may return, as a part of the wait. */
+/** Shortest time after which a refused caller is asked to return. */
+const minRetryAfter: Ms = 100
+/** Spread of the times at which refused callers are asked to return, as a share of the wait. */
 const retrySpread = 0.5
 
-/** Credit of some accounts at one entry. One report is under way at a time. */
+/** Credit of some accounts at one entry. At most one report is in progress at a time. */
 export class CreditQueue {
   private readonly _pools = new Map<string, UsagePool>()
   private _waiting: Waiter[] = []
   private _reporting = false
-  /** Whether those who are held are asked for soon. */
-  private _isDue = false
+  /** Whether a further report for the waiting requests is scheduled. */
+  private _isReportScheduled = false
   private _reportedAt: Ms
   private _stopped = false
   private _cancel: CancelTimer = () => {}
@@ -66,7 +69,7 @@
     this._cancel()
   }
 
-  /** Lets in all who wait for accounts that have no limit any more. */
+  /** Admits all requests that wait for accounts without a limit. */
   release (isFree: (account: string) => boolean): void {
     const free = this._waiting.filter(({ account }) => isFree(account))
     this._waiting = this._waiting.filter(({ account }) => !isFree(account))
@@ -74,7 +77,7 @@
     for (const { decide } of free) decide({ kind: 'admitted', refund: () => {} })
   }
 
-  /** Takes a request's usage. */
+  /** Takes a request's usage from an account. */
   admit (account: string, cost: number): Admission | Promise<Admission> {
     const at = this._instant
     const pool = this._pool(account)
@@ -98,10 +101,10 @@
 
   private _wait (account: string, cost: number): Promise<Admission> {
     return new Promise(resolve => {
-      // A report can be under way for longer, from an entry that is cut off.
+      // A report of an entry that is cut off from its peers can take longer than this.
       const cancel = this._options.clock.after(longestWait, () => {
         this._waiting = this._waiting.filter(other => other !== waiter)
-        resolve(this._refused(leastRetryAfter))
+        resolve(this._refused(minRetryAfter))
       })
       const waiter: Waiter = {
         account,
@@ -126,8 +129,8 @@
     }
   }
 
-  /** Spread, so that callers who were refused together don't come back together. */
-  private _refused (wait: Ms): Admission { return { kind: 'over-limit', retryAfter: Math.max(leastRetryAfter, wait) * (1 + Math.random() * retrySpread) } }
+  /** The wait is spread, so that callers refused together don't return together. */
+  private _refused (wait: Ms): Admission { return { kind: 'over-limit', retryAfter: Math.max(minRetryAfter, wait) * (1 + Math.random() * retrySpread) } }
 
   private get _instant (): Instant { return instantOf(this._options.clock) }
 
@@ -160,10 +163,10 @@
     const waiting = [...this._waiting]
     this._options.report({ entry: this._options.node, covers, rows: this._rows(sent) })
       .catch((error: Error): readonly UsageGrant[] => {
-        this._options.log.warn('usage', 'not reported.', { error: error.message })
+        this._options.log.warn('usage', 'usage not reported.', { error: error.message })
         return []
       })
-      .then(grants => this._take(grants, sent, waiting))
+      .then(grants => this._applyGrants(grants, sent, waiting))
       .finally(() => {
         this._reporting = false
         this._reportAgain()
@@ -178,27 +181,30 @@
     })
   }
 
-  /** Those who came meanwhile are not in the report; those who are held are asked for anew in a while. */
+  /**
+   * Requests that arrived after the report was sent are not in it and are reported at once; those for which the
+   * allocator had no credit are reported again after a pause.
+   */
   private _reportAgain (): void {
     const { clock } = this._options
     if (this._waiting.some(({ account }) => this._pool(account).expectedAvailability(clock.now()).kind === 'short')) this._report()
-    else if (this._waiting.length > 0 && !this._isDue) {
-      this._isDue = true
-      clock.after(heldPause, () => {
-        this._isDue = false
+    else if (this._waiting.length > 0 && !this._isReportScheduled) {
+      this._isReportScheduled = true
+      clock.after(noCreditPause, () => {
+        this._isReportScheduled = false
         if (this._waiting.length > 0) this._report()
       })
     }
   }
 
-  private _take (grants: readonly UsageGrant[], sent: Instant, told: readonly Waiter[]): void {
+  private _applyGrants (grants: readonly UsageGrant[], sent: Instant, reported: readonly Waiter[]): void {
     const at = this._instant
     for (const grant of grants) this._pool(grant.account).applyGrant(grant, sent, at)
-    const answered = new Set(told)
+    const answered = new Set(reported)
     this._waiting = this._waiting.filter(waiter => !answered.has(waiter) || !this._decide(waiter, at))
   }
 
-  /** @returns false when it is to wait on */
+  /** @returns false when the request keeps waiting */
   private _decide ({ account, cost, decide }: Waiter, at: Instant): boolean {
     const pool = this._pool(account)
     const spending = pool.spend(cost, at)
--- a/packages/direct/src/lib/notice-coordinator.ts
+++ b/packages/direct/src/lib/notice-coordinator.ts
@@ -1,5 +1,5 @@
 /**
- * Takes what upstreams say of themselves in their answers, and holds this entry to it together with the others.
+ * Applies the notices that upstreams give in their answers, and holds this entry to them together with the others.
  */
 import { assertNever, type Clock, type Log, type Ms } from '@hazelford/core'
 import { type CreditLimit, type NoticeChange, rendezvousOrder, type UsageBounds, type UsageGrant } from '@hazelford/decisions'
@@ -13,128 +13,130 @@
 import { UsageCoordinator } from './usage-coordinator.js'
 import type { Admission } from './credit-queue.js'
 
-/** What the desk needs of its entry. */
+/** What the coordinator needs of its entry. */
 export interface NoticeCoordinatorOptions {
   readonly node: string
   readonly clock: Clock
   readonly log: Log
   readonly metrics: Pick<EntryMetrics, 'notices'>
   readonly client: Pick<PeerClient, 'reportLimits' | 'sendNotices' | 'ping'>
-  /** All entries that live. */
+  /** All entries that are running. */
   readonly entries: () => readonly PeerAddress[]
-  /** Entries that share an upstream's limit. */
+  /** Number of entries that share an upstream's limit. */
   readonly entryCount: () => number
-  /** An upstream has said that it leaves. */
+  /** Called when an upstream has announced that it leaves. */
   readonly leavingAnnounced: (upstream: Upstream) => void
-  /** An upstream has asked this entry to leave it alone. */
+  /** Called when an upstream has asked this entry to back off. */
   readonly backoffRequested: (upstream: Upstream) => void
-  /** Numbers below 1. */
+  /** Random numbers from 0 to below 1. */
   readonly random?: () => number
   readonly upstreams: { readonly all: () => Iterable<Upstream>, readonly get: (id: string) => Upstream | undefined }
 }
 
-const keepersOf = 'upstream-limits'
+const accountKind = 'upstream-limits'
 /**
- * How far an upstream's limit may be passed: requests that were let in may come to it together, when what they waited for
- * ends at one moment.
+ * How far an upstream's limit may be exceeded: admitted requests that wait for the same event may reach the upstream
+ * together when that event occurs.
  */
 export const limitBounds: UsageBounds = { window: 4_000, overage: 0.25, slack: 2 }
-/** An upstream that wants nothing at all is asked now and then, or its next word would never be heard. */
-const leastRate = 0.05
-/** Time over which entries that hear of a leaving upstream tell the others. */
-const tellSpread: Ms = 150
-/** Upstreams told of in one message; where more have said something, others are told of the next time. */
-const mostRows = 200
-/** Pause before a keeper that does not know an upstream yet is asked again. */
-const untoldPause: Ms = 500
-
-/** Words of all upstreams at one entry. */
+/**
+ * Least rate at which an upstream is sent requests, also with a limit of 0: its next notice comes only in an answer.
+ */
+const minRate = 0.05
+/** Time over which the entries that receive a notice of leaving spread their messages to the others. */
+const notifySpread: Ms = 150
+/** Upstreams in one message. When more have given notices, the others follow in later messages. */
+const maxRows = 200
+/** Pause before an allocator that does not know an upstream yet is asked for it again. */
+const unknownUpstreamPause: Ms = 500
+
+/** Notices of all upstreams at one entry. */
 export class NoticeCoordinator {
-  /** Requests that upstreams take, lent by a keeper to all entries. */
+  /** Requests that upstreams accept, granted by an allocator to all entries. */
   private readonly _limits: UsageCoordinator
-  /** Upstreams of which another entry has told that they leave. */
-  private readonly _told = new WeakSet<Upstream>()
+  /** Upstreams whose leaving this entry has learned from another entry. */
+  private readonly _learnedFromPeers = new WeakSet<Upstream>()
 
   constructor (private readonly _options: NoticeCoordinatorOptions) {
     const { node, clock, log, client, entries, entryCount } = _options
     this._limits = new UsageCoordinator({
       node,
-      kind: keepersOf,
+      kind: accountKind,
       clock,
       log,
       bounds: () => limitBounds,
-      // Another upstream may have room.
+      // Another upstream may have room, so requests are placed there instead of waiting.
       waitsForCredit: false,
       entries,
       entryCount,
-      limits: () => this._limited(),
-      defaultGrant: () => ({ granted: 0, wait: untoldPause }),
-      report: async (peer, msg) => this._heardReply(await client.reportLimits(peer, { ...msg, notices: this._rows() })),
+      limits: () => this._limitsInForce(),
+      defaultGrant: () => ({ granted: 0, wait: unknownUpstreamPause }),
+      report: async (peer, msg) => this._applyReply(await client.reportLimits(peer, { ...msg, notices: this._noticeRows() })),
       ping: peer => client.ping(peer)
     })
   }
 
   stop (): void { this._limits.stop() }
 
-  /** Takes one request of what an upstream takes; at once where it names no limit. */
+  /** Takes one request from an upstream's limit; synchronous where it announces none. */
   admit (upstream: Upstream): Admission | Promise<Admission> { return this._limits.admit(upstream.id, 1) }
 
-  /** What was known of an incarnation holds no more. */
+  /** Drops the limits of incarnations that are gone. */
   forget (): void { this._limits.limitsChanged() }
 
   /**
-   * Takes the notice of an answer.
+   * Applies the notice of an answer.
    *
-   * @param upstream - that gave it
-   * @param notice - as the answer says
-   * @param took - ms since the answer was asked for
+   * @param upstream - that gave the answer
+   * @param notice - as read from the answer
+   * @param took - ms since the request for the answer was sent
    */
   applyNotice (upstream: Upstream, notice: UpstreamNotice, took: Ms): void {
     const now = this._options.clock.now()
-    for (const change of upstream.notices.note(notice, now - took, now)) this._changed(upstream, change, 'its answer')
+    for (const change of upstream.notices.note(notice, now - took, now)) this._handleChange(upstream, change, 'its answer')
   }
 
-  /** Another entry reports what it uses, and what upstreams have told it. */
+  /** Handles another entry's report of its usage and of upstreams' notices. */
   report ({ notices, ...report }: LimitReport): LimitReply {
     this.heard({ notices })
-    return { grants: this._limits.report(report), notices: this._rows() }
+    return { grants: this._limits.report(report), notices: this._noticeRows() }
   }
 
-  /** Another entry tells what upstreams have told it. */
+  /** Applies upstreams' notices that another entry received. */
   heard ({ notices }: NoticeMessage): void {
     const now = this._options.clock.now()
     for (const { upstream: id, startedAt, leaving, limit } of notices) {
       const upstream = this._options.upstreams.get(id)
       if (upstream === undefined || upstream.record.startedAt !== startedAt) continue
-      if (leaving) this._told.add(upstream)
-      if (leaving && upstream.notices.recordLeaving()) this._changed(upstream, { kind: 'leaving' }, 'another entry')
+      if (leaving) this._learnedFromPeers.add(upstream)
+      if (leaving && upstream.notices.recordLeaving()) this._handleChange(upstream, { kind: 'leaving' }, 'another entry')
       const change = limit && upstream.notices.recordLimit({ rate: limit.rate ?? undefined, at: now - limit.age })
-      if (change !== undefined) this._changed(upstream, change, 'another entry')
+      if (change !== undefined) this._handleChange(upstream, change, 'another entry')
     }
   }
 
-  private _heardReply ({ grants, notices }: LimitReply): readonly UsageGrant[] {
+  private _applyReply ({ grants, notices }: LimitReply): readonly UsageGrant[] {
     this.heard({ notices })
     return grants
   }
 
-  private _limited (): ReadonlyMap<string, CreditLimit> {
+  private _limitsInForce (): ReadonlyMap<string, CreditLimit> {
     const limited = new Map<string, CreditLimit>()
     for (const { id, notices: { limit: { rate } } } of this._options.upstreams.all()) {
-      if (rate !== undefined) limited.set(id, { rate: Math.max(leastRate, rate), burst: 0 })
+      if (rate !== undefined) limited.set(id, { rate: Math.max(minRate, rate), burst: 0 })
     }
     return limited
   }
 
-  /** What upstreams have said, also of limits that have ended: another entry may not have heard. */
-  private _rows (): readonly NoticeRow[] {
+  /** The latest notices of upstreams. Limits that have ended are included: another entry may not have received the end. */
+  private _noticeRows (): readonly NoticeRow[] {
     const { upstreams, random = Math.random } = this._options
-    const saying = [...upstreams.all()].filter(({ notices }) => notices.leaving || notices.limit.everNamed)
-    const first = saying.length > mostRows ? Math.floor(random() * saying.length) : 0
-    return [...saying.slice(first), ...saying.slice(0, first)].slice(0, mostRows).map(upstream => this._row(upstream))
+    const announcing = [...upstreams.all()].filter(({ notices }) => notices.leaving || notices.limit.everNamed)
+    const first = announcing.length > maxRows ? Math.floor(random() * announcing.length) : 0
+    return [...announcing.slice(first), ...announcing.slice(0, first)].slice(0, maxRows).map(upstream => this._noticeRow(upstream))
   }
 
-  private _row ({ id, record: { startedAt }, notices: { leaving, limit } }: Upstream): NoticeRow {
+  private _noticeRow ({ id, record: { startedAt }, notices: { leaving, limit } }: Upstream): NoticeRow {
     return {
       upstream: id,
       ...(startedAt === undefined ? {} : { startedAt }),
@@ -143,7 +145,7 @@
     }
   }
 
-  private _changed (upstream: Upstream, change: NoticeChange, source: 'its answer' | 'another entry'): void {
+  private _handleChange (upstream: Upstream, change: NoticeChange, source: 'its answer' | 'another entry'): void {
     const { id, record } = upstream
     const { log, metrics } = this._options
     metrics.notices.inc({ notice: change.kind })
@@ -153,41 +155,44 @@
         if (change.rate === undefined) log.info('membership', 'upstream names no limit any more.', { ...about, before: change.before })
         else log.info('membership', 'upstream names a limit.', { ...about, rate: change.rate, before: change.before })
         this._limits.limitsChanged()
-        if (change.before === undefined && this._isKeeper) this._tellOthers(upstream)
+        if (change.before === undefined && this._isAllocator) this._notifyOthers(upstream)
         return
       case 'leaving':
         log.info('membership', 'upstream says that it leaves.', { ...about, listedAs: record.state })
         this._options.leavingAnnounced(upstream)
-        if (source === 'its answer') this._tellLeaving(upstream)
+        if (source === 'its answer') this._notifyLeaving(upstream)
         return
       case 'rest':
-        log.info('membership', 'upstream asks for rest.', { ...about, lasts: Math.round(change.lasts) })
+        log.info('membership', 'upstream asks to back off.', { ...about, lasts: Math.round(change.lasts) })
         return this._options.backoffRequested(upstream)
       default: return assertNever(change)
     }
   }
 
-  private get _isKeeper (): boolean {
+  private get _isAllocator (): boolean {
     const { node, entries } = this._options
-    return rendezvousOrder(`${keepersOf}/0`, entries().map(entry => entry.node))[0] === node
+    return rendezvousOrder(`${accountKind}/0`, entries().map(entry => entry.node))[0] === node
   }
 
   /**
-   * Tells the others of an upstream that leaves, unless one of them is faster: all that send there hear it at about the same
-   * time.
+   * Notifies the other entries of an upstream that leaves, after a random delay and unless one of them does so first:
+   * all entries that send requests there receive the notice at about the same time.
    */
-  private _tellLeaving (upstream: Upstream): void {
+  private _notifyLeaving (upstream: Upstream): void {
     const { clock, random = Math.random } = this._options
-    clock.after(random() * tellSpread, () => { if (!this._told.has(upstream)) this._tellOthers(upstream) })
+    clock.after(random() * notifySpread, () => { if (!this._learnedFromPeers.has(upstream)) this._notifyOthers(upstream) })
   }
 
-  /** An entry that has sent nothing there yet would not ask for credit, and its part of the limit would lie unused. */
-  private _tellOthers (upstream: Upstream): void {
+  /**
+   * Sends an upstream's notice to all entries. An entry that has sent no request there would not ask for credit, and
+   * its share of the limit would be unused.
+   */
+  private _notifyOthers (upstream: Upstream): void {
     const { node, entries, client, log } = this._options
-    const notices = [this._row(upstream)]
+    const notices = [this._noticeRow(upstream)]
     for (const peer of entries()) {
       if (peer.node === node) continue
-      client.sendNotices(peer, { notices }).catch((error: Error) => log.info('peers', 'not told what upstreams say.', { peer: peer.node, cause: error.message }))
+      client.sendNotices(peer, { notices }).catch((error: Error) => log.info('peers', 'upstream notices not delivered.', { peer: peer.node, cause: error.message }))
     }
   }
 }
--- a/packages/direct/src/lib/notice-messages.ts
+++ b/packages/direct/src/lib/notice-messages.ts
@@ -1,29 +1,29 @@
 /**
- * What entries tell each other of the words of upstreams.
+ * Messages with which entries exchange upstreams' notices.
  */
 import type { Ms } from '@hazelford/core'
 import { isNonNegativeNumber } from './non-negative-number.js'
 
-/** One upstream's latest word, as far as an entry knows. */
+/** Latest notice of one upstream, as far as an entry knows. */
 export interface NoticeRow {
   readonly upstream: string
-  /** Start of the incarnation that said it, as in its record. */
+  /** Start time of the incarnation that gave it, as in its record. */
   readonly startedAt?: number
-  /** Whether it leaves. */
+  /** Whether the upstream leaves. */
   readonly leaving: boolean
-  /** What it said of a limit; undefined for one that has never named any. */
+  /** Its request limit; undefined if it has never announced one. */
   readonly limit?: LimitRow
 }
 
-/** A word on a request limit. */
+/** A notice of a request limit. */
 export interface LimitRow {
-  /** Requests a second from all entries together; null for none. */
+  /** Requests per second of all entries together; null for no limit. */
   readonly rate: number | null
-  /** Ms since which it is known to hold. */
+  /** Ms since the limit was known to be in force. */
   readonly age: Ms
 }
 
-/** Words of some upstreams. */
+/** Notices of some upstreams. */
 export interface NoticeMessage { readonly notices: readonly NoticeRow[] }
 
 function isLimit (value: unknown): value is LimitRow {
@@ -36,7 +36,7 @@
   return typeof upstream === 'string' && (startedAt === undefined || isNonNegativeNumber(startedAt)) && typeof leaving === 'boolean' && (limit === undefined || isLimit(limit))
 }
 
-/** Reads words of upstreams; undefined when they are none. */
+/** Reads notices of upstreams; undefined when the value is malformed. */
 export function readNotices (value: unknown): readonly NoticeRow[] | undefined {
   const { notices } = (value ?? {}) as Record<string, unknown>
   return Array.isArray(notices) && notices.every(isRow) ? notices : undefined
--- a/packages/direct/src/lib/organisation-usage.ts
+++ b/packages/direct/src/lib/organisation-usage.ts
@@ -1,5 +1,5 @@
 /**
- * What organisations use of their limits.
+ * Usage limits of organisations, and the usage of a request.
  */
 import type { CreditLimit, UsageGrant, UsageRow } from '@hazelford/decisions'
 import type { Organisation, UsageLimit } from '@hazelford/ports'
@@ -10,17 +10,18 @@
 }
 
 /**
- * What a request uses, in the limit's unit.
+ * Usage of a request, in the limit's unit.
  *
- * @param tokens - that it names; undefined when it names none
+ * @param tokens - that the request names; undefined when it names none
  */
 export function usageOf (limit: UsageLimit, tokens: number | undefined): number {
   return limit.unit === 'requests' ? 1 : tokens ?? limit.plainTokens
 }
 
 /**
- * Lets in what a keeper says nothing of. It has another configuration, in which these organisations have no limit: it hears of
- * theirs, or this entry of their end, within the time in which a change is in force.
+ * Grants all that a row asks for, when the allocator's answer leaves the row out. The allocator has another
+ * configuration, in which these organisations have no limit. Within the time in which a change comes into force, it
+ * receives their limit, or this entry receives the end of it.
  */
 export function grantInFull ({ waiting, ahead }: UsageRow): Omit<UsageGrant, 'account'> {
   return { granted: waiting + ahead, wait: 0 }
--- a/packages/direct/src/lib/usage-messages.ts
+++ b/packages/direct/src/lib/usage-messages.ts
@@ -1,5 +1,5 @@
 /**
- * Reads what entries tell each other of usage.
+ * Reads the usage messages that entries exchange.
  */
 import type { UsageGrant, UsageRow } from '@hazelford/decisions'
 import { isNonNegativeNumber } from './non-negative-number.js'
@@ -16,12 +16,13 @@
 }
 
 /**
- * Reads a report.
+ * Reads a usage report.
  *
- * A number that is none, taken into a bucket, would make every sum there none too, and each comparison with it false.
+ * A value that is not a number, added to a bucket, would turn every sum there into NaN, and each comparison with it
+ * into false.
  *
  * @param value - decoded JSON
- * @returns undefined when it is no report
+ * @returns undefined when it is not a usage report
  */
 export function readUsageMessage (value: unknown): UsageMessage | undefined {
   const { shard, entry, covers, rows } = (value ?? {}) as Record<string, unknown>
@@ -29,7 +30,7 @@
   return { shard, entry, covers, rows }
 }
 
-/** Reads a keeper's answer; undefined when it is none. */
+/** Reads an allocator's answer; undefined when the value is not one. */
 export function readUsageGrants (value: unknown): readonly UsageGrant[] | undefined {
   const { grants } = (value ?? {}) as Record<string, unknown>
   return Array.isArray(grants) && grants.every(isGrant) ? grants : undefined
