--- a/packages/direct/src/lib/connection-probe.ts
+++ b/packages/direct/src/lib/connection-probe.ts
@@ -1,15 +1,15 @@
 /**
- * Asks whether anybody listens at an address.
+ * Probes whether a process listens at an address.
  */
 import { connect } from 'node:net'
 import type { Ms } from '@hazelford/core'
 
 /**
- * What came of a connection attempt.
+ * Result of a connection attempt.
  *
- * - `open`: somebody listens.
- * - `refused`: the host lives, and nobody listens.
- * - `silent`: neither; the host is gone, frozen or cut off.
+ * - `open`: a process listens.
+ * - `refused`: the host is up, and no process listens.
+ * - `silent`: neither; the host is down, frozen or cut off.
  */
 export type ProbeOutcome = 'open' | 'refused' | 'silent'
 
@@ -18,7 +18,7 @@
  *
  * @param host - IPv4 number
  * @param port - to connect to
- * @param timeout - ms until it counts as silent
+ * @param timeout - ms until the result is `silent`
  */
 export function probeConnection (host: string, port: number, timeout: Ms): Promise<ProbeOutcome> {
   return new Promise(resolve => {
--- a/packages/direct/src/lib/termination-detector.ts
+++ b/packages/direct/src/lib/termination-detector.ts
@@ -1,11 +1,11 @@
 /**
- * Tells which upstreams ended while they had requests of this entry.
+ * Detects upstreams that terminated while running requests of this entry.
  */
 import type { CancelTimer, Clock, Log, Ms } from '@hazelford/core'
 import type { ProbeOutcome } from './connection-probe.js'
 import type { Upstream } from './upstream.js'
 
-/** A request that an upstream had when it ended. */
+/** A request that an upstream was running when it terminated. */
 export interface InterruptedRequest {
   /** Its fingerprint. */
   readonly request: string
@@ -17,35 +17,35 @@
 export interface TerminationDetectorOptions {
   readonly clock: Clock
   readonly log: Log
-  /** Asks whether anybody listens at an upstream's address. */
+  /** Probes whether a process listens at an upstream's address. */
   readonly probe: (upstream: Upstream) => Promise<ProbeOutcome>
-  /** Hears of an upstream that has ended. */
+  /** Called when an upstream has terminated. */
   readonly ended: (upstream: Upstream, lost: readonly InterruptedRequest[]) => void
 }
 
-/** How it showed that an upstream has ended. */
+/** What showed that an upstream has terminated. */
 type Evidence = 'nobody listens' | 'record gone'
 
-/** Lost answers of one upstream that may have ended. */
+/** Lost answers of one upstream that may have terminated. */
 interface Suspicion {
   readonly lost: Map<string, Ms>
   readonly forget: CancelTimer
-  /** Whether its address is being asked. */
+  /** Whether its address is being probed. */
   probing: boolean
 }
 
 /**
- * How long a lost answer is remembered. The record of an upstream that ended goes from the store within four seconds; an
- * outage of the store lengthens that to some eight.
+ * How long a lost answer is remembered. The record of an upstream that terminated is removed from the store within
+ * four seconds; an outage of the store lengthens that to some eight.
  */
-const remembered: Ms = 10_000
+const lostAnswerTtl: Ms = 10_000
 
 /**
- * Matches lost answers with ends of upstreams.
+ * Matches lost answers with terminations of upstreams.
  *
- * A connection breaks for many reasons: the upstream resets it, a link fails, an answer is cut short. A request is suspect only
- * if its upstream has ended too. That shows at once, when nobody listens at its address any more, or some seconds later, when
- * its record goes or names a later start.
+ * A connection breaks for many reasons: the upstream resets it, a link fails, an answer is cut short. A request is
+ * suspect only if its upstream has terminated too. That shows at once, when no process listens at its address any
+ * more, or some seconds later, when its record is removed or has a later start time.
  */
 export class TerminationDetector {
   private readonly _suspicions = new Map<Upstream, Suspicion>()
@@ -53,30 +53,30 @@
   constructor (private readonly _options: TerminationDetectorOptions) {}
 
   /**
-   * Notes a request whose answer was lost, or is not coming, at an upstream.
+   * Records a request whose answer was lost, or is late, at an upstream.
    *
-   * @param broke - whether its connection has ended. One that is silent is not probed: streams stand still at full engines
-   * all the time, and a connection takes one of an engine's places for a moment
+   * @param broke - whether its connection has ended. An upstream that is merely silent is not probed: streams stall at
+   *   full engines all the time, and a probe's connection occupies a batch slot of the engine for a moment
    */
   lost (upstream: Upstream, request: string, broke: boolean): void {
-    // One that leaves ends by itself, under whatever it still runs.
+    // An upstream that leaves terminates on its own, whatever it still runs.
     if (upstream.record.state === 'draining') return
     const suspicion = this._suspicions.get(upstream) ?? this._suspect(upstream)
     suspicion.lost.set(request, this._options.clock.now())
     if (!broke || suspicion.probing) return
     suspicion.probing = true
     this._probe(upstream, suspicion).catch((error: Error) => {
-      this._options.log.warn('membership', 'upstream not probed.', { upstream: upstream.id, error: error.message })
+      this._options.log.warn('membership', 'upstream probe failed.', { upstream: upstream.id, error: error.message })
     })
   }
 
-  /** The record of an upstream is gone from the store, or names a later start. */
+  /** The record of an upstream was removed from the store, or now has a later start time. */
   recordGone (upstream: Upstream): void {
     if (upstream.record.state !== 'draining') this._confirm(upstream, 'record gone')
   }
 
   private _suspect (upstream: Upstream): Suspicion {
-    const suspicion = { lost: new Map<string, Ms>(), probing: false, forget: this._options.clock.after(remembered, () => this._suspicions.delete(upstream)) }
+    const suspicion = { lost: new Map<string, Ms>(), probing: false, forget: this._options.clock.after(lostAnswerTtl, () => this._suspicions.delete(upstream)) }
     this._suspicions.set(upstream, suspicion)
     return suspicion
   }
@@ -93,7 +93,7 @@
     this._suspicions.delete(upstream)
     suspicion.forget()
     const lost = [...suspicion.lost].map(([request, at]) => ({ request, at }))
-    this._options.log.info('membership', 'upstream ended.', { upstream: upstream.id, startedAt: upstream.record.startedAt, evidence, lostAnswers: lost.length })
+    this._options.log.info('membership', 'upstream terminated.', { upstream: upstream.id, startedAt: upstream.record.startedAt, evidence, lostAnswers: lost.length })
     this._options.ended(upstream, lost)
   }
 }
