--- a/packages/direct/src/lib/relay-runner.ts
+++ b/packages/direct/src/lib/relay-runner.ts
@@ -1,5 +1,5 @@
 /**
- * Runs requests that were let in, and keeps what they share.
+ * Runs admitted requests, and keeps the state that they share.
  */
 import type { Clock, Log, Ms } from '@hazelford/core'
 import { type RequestedAdapter, type ExchangeOutcome, type RelayFailure, type RouteTable, type SharedBudgetLimits, SharedRetryBudget } from '@hazelford/decisions'
@@ -25,44 +25,44 @@
   readonly directory: AdapterDirectory
   readonly quarantine: QuarantineCoordinator
   readonly notices: NoticeCoordinator
-  /** Entries that live. */
+  /** Number of entries that are running. */
   readonly entries: () => number
   readonly budgetLimits: () => SharedBudgetLimits
 }
 
-/** Retry-After: long enough for an ejection or a load to be over, short against any caller's patience. */
+/** Retry-After: long enough for an ejection or a load to be over, short compared with any caller's longest wait. */
 const retryAfterBase: Ms = 150
 const retryAfterSpread: Ms = 250
 
-/** Requests of one entry under way. */
+/** Requests of one entry in progress. */
 export class RelayRunner {
   private readonly _budgets = new Map<string, SharedRetryBudget>()
-  /** Requests without their whole answer. */
+  /** Requests whose answer is not complete. */
   private readonly _open = new Set<RelayTask>()
 
   constructor (private readonly _options: RelayRunnerOptions) {}
 
-  /** Takes changed bounds on repeats; what was spent stays spent. */
+  /** Applies changed limits on retries; retries already spent stay spent. */
   updateRetryLimits (limits: SharedBudgetLimits): void { for (const budget of this._budgets.values()) budget.limit(limits) }
 
-  /** Ends what is open of a request that is held back from now on. */
+  /** Ends the open requests with a fingerprint that was just quarantined. */
   hold (fingerprint: string): void {
     for (const task of [...this._open]) if (task.fingerprint === fingerprint) task.hold()
   }
 
-  private _wanted (table: RouteTable, service: string, model: string | undefined, adapter: string | undefined): RequestedAdapter | undefined {
+  private _requestedAdapter (table: RouteTable, service: string, model: string | undefined, adapter: string | undefined): RequestedAdapter | undefined {
     if (model === undefined || table.service(service)?.engine === undefined) return undefined
     if (adapter === undefined) return { model }
     const version = this._options.config.versionOf(model, adapter)
     return { model, adapter, ...(version === undefined ? {} : { version }) }
   }
 
-  /** Runs a request that was let in, until its caller has its answer. */
+  /** Runs an admitted request until its caller has its answer. */
   run ({ incoming, call, route, service, table, isAllowed, refund }: AdmittedCall): void {
     const { clock, log, metrics, codec, placer, quarantine, notices, directory } = this._options
     const { id, model, adapter, patience } = call.facts
-    const wanted = (): RequestedAdapter | undefined => this._wanted(table, service, model, adapter)
-    const want = wanted()
+    const requestedAdapter = (): RequestedAdapter | undefined => this._requestedAdapter(table, service, model, adapter)
+    const want = requestedAdapter()
     const budget = this._budgetOf(service)
     budget.request(clock.now())
     placer.count(service, want)
@@ -72,7 +72,7 @@
       clock,
       log,
       codec,
-      want: wanted,
+      want: requestedAdapter,
       place: query => placer.place(query),
       takeRepeat: () => this._takeRepeat(budget, id),
       isAllowed,
@@ -81,9 +81,9 @@
       noticed: (upstream, notice, took) => notices.applyNotice(upstream, notice, took),
       retryAfter: failure => this._retryAfter(failure),
       adapterBroken: (upstream, broken) => directory.broken(upstream, broken),
-      exchanged: (upstream, outcome, latency, stay) => {
-        if (outcome === 'answered') placer.recordServiceTime(service, stay)
-        this._exchanged(upstream, outcome, latency, route)
+      exchanged: (upstream, outcome, latency, serviceTime) => {
+        if (outcome === 'answered') placer.recordServiceTime(service, serviceTime)
+        this._recordExchange(upstream, outcome, latency, route)
       },
       over: ({ end, sends, firstData, longestGap, notRun }) => {
         const took = clock.now() - call.arrivedAt
@@ -117,13 +117,13 @@
     return allowed
   }
 
-  /** Jittered, so that callers who were refused together don't come back together. */
+  /** Jittered, so that callers refused together don't return together. */
   private _retryAfter (failure: RelayFailure): Ms {
     if (failure === 'quarantined') return this._options.quarantine.holdTime
     return retryAfterBase + Math.random() * retryAfterSpread
   }
 
-  private _exchanged (upstream: Upstream, outcome: ExchangeOutcome, latency: Ms | undefined, route: Route): void {
+  private _recordExchange (upstream: Upstream, outcome: ExchangeOutcome, latency: Ms | undefined, route: Route): void {
     const { clock, log, metrics } = this._options
     metrics.sends.inc({ outcome })
     if (latency !== undefined) metrics.firstByte.observe({ kind: route.kind }, latency)
--- a/packages/direct/src/lib/relay-task.ts
+++ b/packages/direct/src/lib/relay-task.ts
@@ -1,5 +1,5 @@
 /**
- * Drives one request: performs what its decisions ask for.
+ * Drives one request: performs the effects that its flow decides on.
  */
 import { assertNever, type CancelTimer, type Clock, type Log, type Ms, Task } from '@hazelford/core'
 import { type RequestedAdapter, type ExchangeOutcome, mayHaveCausedTermination, type RelayEffect, type RelayFailure, relayFlow, type RelayMessage, requestedAdapterKey } from '@hazelford/decisions'
@@ -10,7 +10,7 @@
 import { requestFingerprint } from './request-fingerprint.js'
 import type { Upstream } from './upstream.js'
 
-/** A request that was read whole. */
+/** A request that was read completely. */
 export interface BufferedCall {
   readonly facts: CallMetadata
   readonly method: string
@@ -19,9 +19,9 @@
   readonly headers: readonly string[]
   readonly body: Buffer | undefined
   readonly arrivedAt: Ms
-  /** Whether keys say who may send requests. */
+  /** Whether a key is needed to send requests. */
   readonly byKey: boolean
-  /** Whose request it is; undefined when nobody's. */
+  /** The organisation whose key was sent; undefined without one. */
   readonly organisation: string | undefined
   /** 0 is the most urgent. */
   readonly priority: number
@@ -30,7 +30,7 @@
 /** How a request ended, for logs and metrics. */
 export type RelayEnd = 'delivered' | 'broken' | 'caller-gone' | RelayFailure
 
-/** What is told of a request at its end. */
+/** Summary of a request at its end. */
 export interface RelaySummary {
   readonly end: RelayEnd
   readonly sends: number
@@ -38,7 +38,7 @@
   readonly firstData: Ms | undefined
   /** Longest ms between two events. */
   readonly longestGap: Ms
-  /** Whether no upstream can have begun to work on it. */
+  /** Whether no upstream can have begun to run it. */
   readonly notRun: boolean
 }
 
@@ -53,40 +53,40 @@
   readonly takeRepeat: () => boolean
   /** Whether its caller may still send it. */
   readonly isAllowed: () => boolean
-  /** Whether a request is held back, since upstreams end under it. */
+  /** Whether a request is quarantined, since upstreams terminate while running it. */
   readonly isQuarantined: (fingerprint: () => string) => boolean
-  /** An upstream gave no answer, or no more of it, soon after it had the request; `broke`: its connection has ended. */
+  /** Called when an upstream gave no answer, or no more of it, soon after it received the request; `broke`: its connection has ended. */
   readonly answerLost: (upstream: Upstream, fingerprint: string, broke: boolean) => void
-  /** What an answer says of its upstream; `took`: ms from the send to the answer's head. */
+  /** The upstream's notice in an answer; `took`: ms from the send to the answer's head. */
   readonly noticed: (upstream: Upstream, notice: UpstreamNotice, took: Ms) => void
   readonly retryAfter: (failure: RelayFailure) => Ms
   readonly adapterBroken: (upstream: string, want: RequestedAdapter) => void
-  /** `stay`: ms from the send to its end. */
+  /** `serviceTime`: ms from the send to its end. */
   readonly exchanged: (upstream: Upstream, outcome: ExchangeOutcome, latency: Ms | undefined, stay: Ms) => void
   readonly over: (summary: RelaySummary) => void
 }
 
 /**
- * The route's timeout is answered by the upstream itself, which knows it; this much later
- * the entry answers in its place.
+ * Margin after the route's timeout. The upstream knows the timeout and answers it by itself; this much later the entry
+ * answers in its place.
  */
 const timeoutMargin: Ms = 40
-/** Silence before the first event after which a resumable stream is sent elsewhere. */
+/** Silence before the first event after which a resumable stream is sent to another upstream. */
 const streamSilence: Ms = 1_500
-/** Silence between events after which a resumable stream is taken up elsewhere. */
+/** Silence between events after which a resumable stream is resumed at another upstream. */
 const gapSilence: Ms = 900
-/** A plain answer that takes this many times the route's target is asked elsewhere, if it may be. */
+/** A plain answer that takes this many times the route's latency target is requested of another upstream, if it may be retried. */
 const slowFactor = 3
 const slowFloor: Ms = 250
-/** Part of the time left that a request may wait for its adapter; the rest is for its answer. */
+/** Share of the remaining time that a request may wait for its adapter; the rest is for its answer. */
 const loadShare = 0.5
 /**
- * Callers of streams leave when nothing comes for this many latency targets, and no sooner
- * than this. Who is refused before that comes back; who is kept longer is gone.
+ * Callers of streams leave after a silence of this many latency targets, and not before `leaveFloor`. A caller refused
+ * before that retries; one that is kept waiting longer has left.
  */
 const leaveTargets = 4
 const leaveFloor: Ms = 2_000
-/** Left for the answer's first event before the caller leaves. */
+/** Time kept for the answer's first event before the caller leaves. */
 const firstEventMargin: Ms = 600
 
 /** One request from its arrival to its answer. */
@@ -98,13 +98,13 @@
   private _upstream: Upstream | undefined
   private _version: number | undefined
   private _waits: PlaceWaits | undefined
-  /** Gives back what the request took of its upstream's limit. */
+  /** Returns what the request took of its upstream's limit. */
   private _refund: () => void = () => {}
   /** Ms until a place can be expected, where that is known. */
   private _retryAfter: Ms | undefined
   private _want: RequestedAdapter | undefined
-  private _whole: WholeAnswer | undefined
-  private _held: WholeAnswer | undefined
+  private _completeAnswer: WholeAnswer | undefined
+  private _keptAnswer: WholeAnswer | undefined
   private _head: AnswerHead | undefined
   private _pending: Buffer | undefined
   private _lastEventId: number | undefined
@@ -112,14 +112,14 @@
   private _fingerprint: string | undefined
   private _firstData: Ms | undefined
   private _dataAt: Ms | undefined
-  /** When the upstream that has the request sent its first data. */
-  private _dataHereSince: Ms | undefined
+  /** When the upstream that runs the request sent its first data. */
+  private _upstreamDataSince: Ms | undefined
   private _longestGap: Ms = 0
   private _sends = 0
   /**
-   * - `placing`: the upstream is silent, and another one is looked for.
-   * - `over`: it has gone on meanwhile.
-   * - `unplaced`: it is silent still, and no other one can take the request.
+   * - `placing`: the upstream is silent, and another one is being looked for.
+   * - `over`: the upstream has sent data again meanwhile.
+   * - `unplaced`: the upstream is still silent, and no other one can run the request.
    */
   private _stall: 'none' | 'placing' | 'over' | 'unplaced' = 'none'
 
@@ -134,17 +134,17 @@
     this._lastEventId = _call.facts.lastEventId
   }
 
-  /** Begins to look for an upstream. */
+  /** Starts looking for an upstream. */
   start (): void {
-    const { clock, isQuarantined: isHeld, isAllowed, takeRepeat } = this._deps
+    const { clock, isQuarantined, isAllowed, takeRepeat } = this._deps
     this._cancelTimeout = clock.after(this._deadline + timeoutMargin - clock.now(), () => this._post({ kind: 'timeout' }))
-    this._task = new Task(relayFlow(this._route, { takeRepeat, isAllowed, isQuarantined: () => isHeld(() => this.fingerprint) }), effect => this._perform(effect))
+    this._task = new Task(relayFlow(this._route, { takeRepeat, isAllowed, isQuarantined: () => isQuarantined(() => this.fingerprint) }), effect => this._perform(effect))
   }
 
-  /** The same for each attempt at this request. */
+  /** Identity of the request, equal for each attempt at it. */
   get fingerprint (): string { return (this._fingerprint ??= requestFingerprint({ ...this._call, ...this._call.facts })) }
 
-  /** It is held back from now on. */
+  /** Ends the request, since it is quarantined from now on. */
   hold (): void { this._post({ kind: 'held' }) }
 
   /** The caller has closed its connection. */
@@ -155,17 +155,17 @@
     try {
       this._task?.post(msg)
     } catch (error) {
-      this._fault(error as Error)
+      this._endAfterFault(error as Error)
     }
   }
 
   /**
-   * Ends this request after a fault of ours. Thrown on, it would end the process, and with it every
-   * other caller's request; it shows by this line and a connection that is cut.
+   * Ends this request after a fault of the entry. If the error were thrown on, it would end the process and every
+   * other caller's request with it; instead it is logged and this caller's connection is cut.
    */
-  private _fault (error: Error): void {
+  private _endAfterFault (error: Error): void {
     this._deps.log.warn('request', 'ended by a fault of the entry.', { request: this._call.facts.id, error: error.stack })
-    // A non-idempotent request goes on at its upstream, as when its caller leaves.
+    // A non-idempotent request keeps running at its upstream, as when its caller leaves.
     if (this._route.kind !== 'non-idempotent') this._exchange?.abandon()
     this._answer.break()
     this._end('broken')
@@ -181,7 +181,7 @@
         this._deps.clock.after(effect.delay, () => this._post({ kind: 'waited' }))
         return
       case 'hold':
-        this._held = this._whole
+        this._keptAnswer = this._completeAnswer
         return
       case 'deliver': return this._deliver()
       case 'finish': return this._end('delivered')
@@ -200,21 +200,22 @@
   private get _remaining (): Ms { return this._deadline - this._deps.clock.now() }
 
   /**
-   * Ms that the request may still wait for a place.
+   * Longest time in ms that the request may still wait for a place.
    *
-   * Callers leave after a silence, not after a time since their request: a stream that broke off in its
-   * fourth second is waited for as long as one that has not begun. Counted from the request, it
-   * could not be taken up elsewhere unless its adapter happened to be there.
+   * Callers leave after a silence, not at a fixed time after their request: a stream that broke off in its fourth
+   * second is waited for as long as one that has not begun. Measured from the request's arrival, such a stream could
+   * be resumed elsewhere only if its adapter happened to be loaded there.
    */
-  private get _patience (): Ms {
+  private get _longestWait (): Ms {
     const waited = this._deps.clock.now() - (this._dataAt ?? this._call.arrivedAt)
-    const stays = Math.max(leaveFloor, leaveTargets * this._route.latencyTarget) - firstEventMargin
-    return Math.max(0, Math.min(this._remaining * loadShare, stays - waited))
+    const leavesAfter = Math.max(leaveFloor, leaveTargets * this._route.latencyTarget) - firstEventMargin
+    return Math.max(0, Math.min(this._remaining * loadShare, leavesAfter - waited))
   }
 
   private _place (avoid: ReadonlySet<string>, again: string | undefined): void {
-    // A stream may go on elsewhere many seconds after its request. A version that was declared since is
-    // in force there; by the one of its first placement it would begin anew on weights that were replaced.
+    // A stream may be resumed many seconds after its request arrived. A version declared since then is in force at the
+    // other upstream; with the version of its first placement the stream would start over on weights that were
+    // replaced.
     this._want = this._deps.want()
     this._retryAfter = undefined
     const query: PlaceQuery = {
@@ -222,42 +223,41 @@
       want: this._want,
       urgency: this._call.priority,
       avoid,
-      patience: this._patience,
+      patience: this._longestWait,
       prompt: { request: this._call.facts.id, tokens: this._call.facts.promptTokens, dueAt: this._call.arrivedAt + this._route.latencyTarget },
       cancelled: () => this._over,
       ...(again === undefined ? {} : { again })
     }
     this._deps.place(query).then(placed => {
-      // On a busy host a request and the close of its connection are read one after the
-      // other, in two turns of the event loop. Sent on in between, it would run for a caller
-      // who left long before.
+      // On a busy host, a request and the close of its connection are read in two consecutive turns of the event loop.
+      // A request sent between the two would run for a caller who left long before.
       setImmediate(() => setImmediate(() => this._placed(placed)))
     }, (error: Error) => {
-      this._deps.log.warn('request', 'not placed.', { request: this._call.facts.id, error: error.message })
+      this._deps.log.warn('request', 'placement failed.', { request: this._call.facts.id, error: error.message })
       this._post({ kind: 'unplaced', cause: 'no-upstream' })
     })
   }
 
   /**
-   * Takes what came of looking for a place.
+   * Handles the result of a placement.
    *
-   * The engine's holder counts a place that it gave until it hears otherwise. Nothing is sent for a caller who has left
-   * meanwhile, or for a stream that has gone on where it was: unsaid, the place stood empty for seconds, and
-   * callers were refused beside an idle engine.
+   * The engine's holder counts a batch slot that it granted as used until it learns otherwise. No request is sent for
+   * a caller who has left meanwhile, or for a stream that has gone on at its upstream. Unless that is reported, the
+   * slot stays empty for seconds, and callers are refused although the engine is idle.
    */
   private _placed (placed: Placed): void {
     const sends = this._sends
-    this._takePlace(placed)
+    this._applyPlacement(placed)
     if (placed.kind !== 'placed' || this._sends > sends) return
     placed.upstream.recordUnusedSlot()
     placed.refund()
   }
 
-  private _takePlace (placed: Placed): void {
+  private _applyPlacement (placed: Placed): void {
     if (this._remaining <= 0) return this._post({ kind: 'timeout' })
     const stall = this._stall
     this._stall = stall === 'placing' && placed.kind === 'unplaced' ? 'unplaced' : 'none'
-    // It goes on where it is: moved now, it would be read anew for nothing.
+    // The stream goes on at its upstream; moving it now would make another engine read the prompt again for nothing.
     if (stall === 'over') return this._post({ kind: 'moves-again' })
     if (placed.kind === 'unplaced') {
       this._retryAfter = placed.retryAfter
@@ -276,7 +276,7 @@
     const { facts, method, path, headers, body } = this._call
     const sentAt = clock.now()
     this._sends++
-    this._dataHereSince = undefined
+    this._upstreamDataSince = undefined
     const resumed = this._answer.begun ? this._lastEventId : undefined
     log.info('request', 'sent.', { request: facts.id, upstream: upstream.id, send: this._sends, waited: Math.round(sentAt - this._call.arrivedAt), ...this._waitFields(), outstanding: upstream.outstanding, rateLimit: upstream.notices.limit.rate, version: this._version, resumedAfter: resumed })
     const release = upstream.open(this._want?.adapter === undefined ? undefined : requestedAdapterKey(this._want))
@@ -325,18 +325,18 @@
         log.info('request', 'upstream unreachable.', { request: facts.id, upstream: upstream.id, cause })
         this._post({ kind: 'unreachable' })
       },
-      stalled: cause => this._noteStall(upstream, cause, clock.now() - sentAt),
+      stalled: cause => this._recordStall(upstream, cause, clock.now() - sentAt),
       lost: (cause, broke) => {
         this._stall = 'none'
         close('lost')
         log.info('request', 'answer lost.', { request: facts.id, upstream: upstream.id, cause, lastEventId: this._lastEventId, after: Math.round(clock.now() - sentAt), fingerprint: this.fingerprint })
-        this._suspect(upstream, broke)
+        this._reportSuspect(upstream, broke)
         this._post({ kind: 'lost' })
       },
       whole: answer => {
         const failed = answer.status >= 500
         close(failed ? 'error' : 'answered', first())
-        this._whole = answer
+        this._completeAnswer = answer
         this._post({ kind: 'whole', failed })
       },
       begin: head => {
@@ -353,7 +353,7 @@
     })
   }
 
-  /** Parts of the wait of a stream that needed an adapter, for the log. */
+  /** Log fields with the parts of the wait of a stream that needed an adapter. */
   private _waitFields (): object {
     if (this._waits === undefined) return {}
     return { forAdapter: Math.round(this._waits.adapter), atDoor: Math.round(this._waits.admissionWait) }
@@ -367,22 +367,22 @@
     return this._route.kind === 'read-only' || (this._isStream && this._route.resumable)
   }
 
-  /** Tells that this request may be what ends its upstream, if that turns out to have ended. */
-  private _suspect (upstream: Upstream, broke: boolean): void {
-    const answeredFor = this._dataHereSince === undefined ? 0 : this._dataAt! - this._dataHereSince
+  /** Reports that this request may be the cause if its upstream turns out to have terminated. */
+  private _reportSuspect (upstream: Upstream, broke: boolean): void {
+    const answeredFor = this._upstreamDataSince === undefined ? 0 : this._dataAt! - this._upstreamDataSince
     if (mayHaveCausedTermination(answeredFor)) this._deps.answerLost(upstream, this.fingerprint, broke)
   }
 
-  private _noteStall (upstream: Upstream, cause: string, after: Ms): void {
+  private _recordStall (upstream: Upstream, cause: string, after: Ms): void {
     if (this._over || this._stall === 'placing') return
     this._deps.log.info('request', 'stalled.', { request: this._call.facts.id, upstream: upstream.id, cause, lastEventId: this._lastEventId, after: Math.round(after) })
     if (this._stall === 'none') this._deps.exchanged(upstream, 'lost', undefined, after)
     this._stall = 'placing'
-    this._suspect(upstream, false)
+    this._reportSuspect(upstream, false)
     this._post({ kind: 'stalled' })
   }
 
-  /** Giving up an answer early helps only where another upstream may be asked. */
+  /** Giving up an answer early helps only when another upstream may be tried. */
   private _firstByteTimeout (): Ms | undefined {
     if (this._isStream || !this._repeatable || this._sends >= this._route.maxAttempts) return undefined
     return Math.max(slowFloor, slowFactor * this._route.latencyTarget)
@@ -393,7 +393,7 @@
     if (lastEventId !== undefined) this._lastEventId = lastEventId
     if (this._stall === 'placing') this._stall = 'over'
     if (this._stall === 'unplaced') this._stall = 'none'
-    this._noteData()
+    this._recordData()
     if (!this._answer.begun) {
       this._pending = bytes
       this._post({ kind: 'streaming' })
@@ -402,12 +402,12 @@
     this._write(bytes)
   }
 
-  private _noteData (): void {
+  private _recordData (): void {
     const now = this._deps.clock.now()
     if (this._dataAt === undefined) this._firstData = now - this._call.arrivedAt
     else this._longestGap = Math.max(this._longestGap, now - this._dataAt)
     this._dataAt = now
-    this._dataHereSince ??= now
+    this._upstreamDataSince ??= now
   }
 
   private _write (bytes: Buffer): void {
@@ -424,7 +424,7 @@
       this._pending = undefined
       return
     }
-    const whole = this._whole ?? this._held
+    const whole = this._completeAnswer ?? this._keptAnswer
     if (whole !== undefined) this._answer.whole(whole)
   }
 
@@ -436,7 +436,7 @@
   private _end (end: RelayEnd, notRun = false): void {
     this._over = true
     this._cancelTimeout()
-    // A non-idempotent request goes on at its upstream; its answer has nobody to go to.
+    // A non-idempotent request keeps running at its upstream; its answer is discarded.
     this._exchange?.ignore()
     this._closeExchange()
     if (end === 'delivered' && !this._answer.ended) this._answer.end()
