--- a/packages/direct/src/lib/caller-answer.ts
+++ b/packages/direct/src/lib/caller-answer.ts
@@ -6,7 +6,7 @@
 import type { RelayFailure, UnauthorisedCause } from '@hazelford/decisions'
 import type { AnswerHead, WholeAnswer } from './exchange.js'
 
-/** Errors of the entry's own, with the status that says whether the request ran. */
+/** Errors of the entry itself, with the fields that decide the status. */
 export type EntryError =
   | { readonly kind: 'relay', readonly failure: RelayFailure, readonly notRun: boolean, readonly retryAfter: Ms }
   | { readonly kind: 'bad-request', readonly message: string }
@@ -15,19 +15,19 @@
   | { readonly kind: 'no-config', readonly retryAfter: Ms }
   | { readonly kind: 'unauthorised', readonly cause: UnauthorisedCause }
   | { readonly kind: 'over-limit', readonly organisation: string, readonly retryAfter: Ms }
-  /** The configuration may have changed unheard, and the request's key with it. */
+  /** The configuration may have changed without this entry knowing, and the validity of the request's key with it. */
   | { readonly kind: 'config-unproven', readonly retryAfter: Ms }
 
-/** Whether the failure is that time ran out. */
+/** Whether the request failed because its time ran out. */
 function isTimeout (failure: RelayFailure): boolean { return failure === 'timeout-sent' || failure === 'timeout-unsent' }
 
 /**
  * Status of an error.
  *
- * 503 promises that the request has not run and won't; what may have run gets 502 or 504,
- * which promise nothing.
+ * 503 promises that the request has not run and won't; a request that may have run gets 502 or 504, which promise
+ * nothing.
  *
- * @param error - what the caller is told
+ * @param error - to be reported to the caller
  */
 export function statusOf (error: EntryError): number {
   switch (error.kind) {
@@ -50,9 +50,9 @@
     case 'no-route': return 'No route matches this host and path.'
     case 'body-too-large': return 'The body is larger than the configuration allows.'
     case 'no-config': return 'No configuration is known yet. Send the request again later.'
-    case 'unauthorised': return `The request shows no key that opens this route (${error.cause}). Send the key of your organisation as "Authorization: Bearer KEY".`
+    case 'unauthorised': return `The request has no valid key for this route (${error.cause}). Send the key of your organisation as "Authorization: Bearer KEY".`
     case 'over-limit': return `The usage limit of ${error.organisation} is used up for now. The request did not run; send it again later.`
-    case 'config-unproven': return 'It can not be told now whether the key is still good. The request did not run; send it again later.'
+    case 'config-unproven': return 'Whether the key is still valid can not be verified now. The request did not run; send it again later.'
     case 'relay': return error.notRun
       ? `The request did not run (${error.failure}). Send it again later.`
       : `The request may have run (${error.failure}). Repeat it only if that does no harm.`
@@ -67,7 +67,7 @@
 
   /**
    * @param _res - the raw response
-   * @param _closing - whether the connection ends after this answer
+   * @param _closing - whether the connection is closed after this answer
    */
   constructor (private readonly _res: ServerResponse, private readonly _closing: () => boolean) {}
 
@@ -83,8 +83,8 @@
   }
 
   /**
-   * Passes on an answer that ends with its connection in the same way. Given a length here, an
-   * answer that was cut short would look whole to its caller.
+   * Passes an answer that ends with its connection on in the same way. With a length added here, an answer that was
+   * cut short would look complete to its caller.
    */
   private _unframed (): string[] {
     this._res.useChunkedEncodingByDefault = false
@@ -92,7 +92,7 @@
     return this._closing() ? [] : ['Connection', 'close']
   }
 
-  /** Begins an answer that is passed on as it comes. */
+  /** Begins an answer that is passed on as it arrives. */
   begin (head: AnswerHead): void {
     this._begun = true
     const framing = head.framed ? [] : this._unframed()
@@ -121,10 +121,10 @@
     this._res.end(body)
   }
 
-  /** Cuts an answer that has begun, without its end, so that it can't be taken for whole. */
+  /** Cuts off an answer that has begun, without its end, so that the caller can't take it for complete. */
   break (): void {
     this._ended = true
-    // Where the end of the connection is the end of the answer, only a reset tells them apart.
+    // Where the close of the connection marks the end of the answer, only a reset tells the two apart.
     if (this._endsWithConnection) this._res.socket?.resetAndDestroy()
     else this._res.destroy()
   }
--- a/packages/direct/src/lib/caller-server.ts
+++ b/packages/direct/src/lib/caller-server.ts
@@ -1,12 +1,12 @@
 /**
- * The callers' HTTP server, and the balancer's question whether it is ready.
+ * The HTTP server for callers, and the readiness endpoint for the load balancer.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { type Clock, type Ms } from '@hazelford/core'
 import type { CallerLimits } from '@hazelford/ports'
 import { CallerAnswer } from './caller-answer.js'
 
-/** A request read whole, with the answer to write. */
+/** A request that was read completely, with the answer to write. */
 export interface IncomingRequest {
   readonly method: string
   readonly host: string
@@ -17,11 +17,11 @@
   readonly answer: CallerAnswer
   /** Whether the caller has closed its connection. */
   readonly isGone: () => boolean
-  /** Hears when the caller has closed its connection before the answer was whole. */
+  /** Registers a callback for when the caller closes its connection before its answer is complete. */
   readonly onGone: (run: () => void) => void
 }
 
-/** What the server asks of its entry. */
+/** What the server needs of its entry. */
 export interface CallerServerOptions {
   readonly clock: Clock
   readonly maxBodyBytes: () => number
@@ -29,10 +29,10 @@
   readonly handle: (incoming: IncomingRequest) => void
 }
 
-/** How often slow or idle connections are looked for. */
+/** How often slow and idle connections are checked. */
 const checkEvery: Ms = 500
 const defaultHeaderBytes = 16 * 1024
-/** Requests that may be on their way when a connection closes, after an idle limit was announced. */
+/** Time that idle connections are kept beyond the configured limit, for requests that are on their way when the limit is reached. */
 const idleSlack: Ms = 500
 const backlog = 1_024
 
@@ -44,7 +44,7 @@
 export class CallerServer {
   readonly server: Server
   private _open = 0
-  private _idle: (() => void) | undefined
+  private _onDrained: (() => void) | undefined
 
   constructor (private readonly _options: CallerServerOptions) {
     this.server = createServer({
@@ -56,7 +56,7 @@
     }, (req, res) => this._read(req, res))
   }
 
-  /** Requests without their whole answer. */
+  /** Requests whose answer is not complete. */
   get open (): number { return this._open }
 
   listen (host: string, port: number): Promise<void> {
@@ -66,16 +66,16 @@
     })
   }
 
-  /** Puts the configuration's limits in force. */
+  /** Applies the configuration's limits. */
   limit (limits: CallerLimits): void {
     this.server.headersTimeout = limits.headerTimeout
     this.server.keepAliveTimeout = limits.idleTimeout + idleSlack
   }
 
-  /** Waits until no request is open; new ones are still taken. */
+  /** Waits until no request is open; new ones are still accepted. */
   async drained (): Promise<void> {
     if (this._open === 0) return
-    await new Promise<void>(resolve => { this._idle = resolve })
+    await new Promise<void>(resolve => { this._onDrained = resolve })
   }
 
   close (): void {
@@ -89,7 +89,7 @@
     this._open++
     res.on('close', () => {
       this._open--
-      if (this._open === 0) this._idle?.()
+      if (this._open === 0) this._onDrained?.()
     })
     res.sendDate = false
     const answer = new CallerAnswer(res, closing)
@@ -101,7 +101,7 @@
       size += chunk.length
       if (answer.ended) return
       if (size > limit) {
-        // The rest of the body is not read; the connection can't be used again.
+        // The rest of the body is not read, so the connection can't be used again.
         res.setHeader('Connection', 'close')
         answer.fail({ kind: 'body-too-large' })
         return
@@ -111,8 +111,8 @@
     req.on('end', () => {
       if (!answer.ended) this._handle(req, res, chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks), arrivedAt, answer)
     })
-    // The caller broke off within its body. Nothing was passed on, and the close of its
-    // connection ends the count of open requests.
+    // The caller broke off within its body. Nothing was passed on, and the close of its connection decrements the
+    // number of open requests.
     req.on('error', () => {})
   }
 
@@ -129,7 +129,7 @@
       onGone: run => {
         const { socket } = req
         const gone = (): void => { if (!res.writableFinished) run() }
-        // The end of the caller's side is seen a little before the connection's.
+        // The end of the caller's side arrives a little before the close of the connection.
         socket.once('end', gone)
         res.once('close', () => {
           socket.removeListener('end', gone)
@@ -141,10 +141,10 @@
 }
 
 /**
- * Answers the balancer.
+ * Creates the server that answers the load balancer's readiness checks.
  *
  * @param ready - whether new connections are wanted
- * @param path - of the question
+ * @param path - of the readiness check
  */
 export function createReadyServer (ready: () => boolean, path: string): Server {
   return createServer((req, res) => {
--- a/packages/direct/src/lib/current-config.ts
+++ b/packages/direct/src/lib/current-config.ts
@@ -6,7 +6,7 @@
 import type { AdapterVersion, RouteConfig, StoreEvent, StoreItem } from '@hazelford/ports'
 import type { PlatformPort } from './platform-port.js'
 
-/** Hears of what operators decided. */
+/** Receives configurations and adapter versions as they come into force. */
 export interface ConfigListener {
   readonly configured: (table: RouteTable) => void
   readonly declared: (version: AdapterVersion) => void
@@ -14,7 +14,7 @@
 
 function versionKey (model: string, adapter: string): string { return `${model}/${adapter}` }
 
-/** Takes what operators write; never goes back. */
+/** Applies what operators write to the store; never goes back to an older version. */
 export class CurrentConfig {
   private _table: RouteTable | undefined
   private readonly _declared = new Map<string, AdapterVersion>()
@@ -24,25 +24,25 @@
   /** The configuration in force, if any is known. */
   get table (): RouteTable | undefined { return this._table }
 
-  /** Declared versions, for a peer that starts while the store is away. */
+  /** Declared versions, for a peer that starts during an outage of the store. */
   get versions (): readonly AdapterVersion[] { return [...this._declared.values()] }
 
   /** Declared version of an adapter. */
   versionOf (model: string, adapter: string): number | undefined { return this._declared.get(versionKey(model, adapter))?.version }
 
-  reset (items: readonly StoreItem[]): void { for (const item of items) this._take(item) }
+  reset (items: readonly StoreItem[]): void { for (const item of items) this._apply(item) }
 
   apply (event: StoreEvent): void {
-    // A key that is removed takes nothing back: what was in force stays.
-    if (event.kind === 'put') this._take(event.item)
+    // The removal of a key revokes nothing: the configuration or version in force stays.
+    if (event.kind === 'put') this._apply(event.item)
   }
 
-  private _take ({ key, value, revision }: StoreItem): void {
-    if (this._platform.isConfigKey(key)) this._takeConfig(value, revision)
-    else if (this._platform.isVersionKey(key)) this._takeVersion(key, value)
+  private _apply ({ key, value, revision }: StoreItem): void {
+    if (this._platform.isConfigKey(key)) this._applyConfig(value, revision)
+    else if (this._platform.isVersionKey(key)) this._applyVersion(key, value)
   }
 
-  private _takeConfig (value: string, revision: number): void {
+  private _applyConfig (value: string, revision: number): void {
     const decoded = this._platform.decodeConfig(value)
     if (decoded.isErr()) {
       this._log.warn('config', 'configuration can not be read, the last one stays in force.', { revision, problem: decoded.error.message, inForce: this._table?.version })
@@ -54,8 +54,8 @@
   /**
    * Puts a configuration in force unless a newer one is.
    *
-   * A read that was answered late, or a peer that lags, may bring an older version after a
-   * newer one. Requests would then be routed as operators no longer want.
+   * A read that is answered late, or a peer that lags, may bring an older version after a newer one. Requests would
+   * then be routed by rules that operators have replaced.
    */
   applyIfNewer (config: RouteConfig): void {
     if (this._table !== undefined && config.version <= this._table.version) return
@@ -65,7 +65,7 @@
     this._listener.configured(this._table)
   }
 
-  private _takeVersion (key: string, value: string): void {
+  private _applyVersion (key: string, value: string): void {
     const decoded = this._platform.decodeVersion(value)
     if (decoded.isErr()) {
       this._log.warn('config', 'adapter version can not be read.', { key, problem: decoded.error.message })
@@ -74,7 +74,7 @@
     this.declare(decoded.value)
   }
 
-  /** Takes a declared version unless a newer one is known. */
+  /** Applies a declared version unless a newer one is known. */
   declare (declared: AdapterVersion): void {
     const { model, adapter, version } = declared
     const known = versionKey(model, adapter)
--- a/packages/direct/src/lib/direct-entry.ts
+++ b/packages/direct/src/lib/direct-entry.ts
@@ -42,20 +42,21 @@
   readonly settleTime?: Ms
 }
 
-/** Part of an upstream's connections that one entry uses; the rest is for entries not seen yet. */
+/** Share of an upstream's connections that the known entries use; the rest is for entries that are not listed yet. */
 const connectionShare = 0.9
 const defaultConnections = 100
 /**
- * Time after the end of an adapter's last request here until its holder is told, if no ask tells it before: what ends
- * together is told together. A slot stays taken that long for nobody.
+ * Delay after the end of an adapter's last request here until its holder is notified, unless a load request does so
+ * before. Requests that end together are reported together. The adapter slot stays occupied for that long without a
+ * request.
  */
-const tellFreedAfter: Ms = 20
-/** The balancer asks once a second and takes an entry out after two misses. */
+const reportUseDelay: Ms = 20
+/** The load balancer checks readiness once a second and removes an entry after two failed checks. */
 const balancerNotice: Ms = 2_600
-/** Left of the grace period for the process itself to end. */
+/** Time kept of the grace period for the process itself to exit. */
 const graceMargin: Ms = 700
 const defaultMaxBody = 4 << 20
-/** Time for a connection to open to an upstream that may have ended; one on a far link or a slow host takes some tens of ms. */
+/** Time for a connection to open to an upstream that may have terminated; one on a far link or a slow host takes some tens of ms. */
 const probeTimeout: Ms = 600
 
 function budgetLimits (settings: DirectSettings): SharedBudgetLimits {
@@ -98,7 +99,7 @@
   private _settings: DirectSettings
   private _peerPort = 0
   private _closing = false
-  private _lastAnswer = false
+  private _closesConnections = false
   private _refusing = false
   private _stopped = false
 
@@ -115,9 +116,9 @@
       client: this._client,
       entries: () => this.peers.entries,
       probe: ({ record }) => probeConnection(record.host, record.port, probeTimeout),
-      held: fingerprint => this._hold(fingerprint)
+      held: fingerprint => this._endQuarantined(fingerprint)
     })
-    this._usage = this._createUsageDesk()
+    this._usage = this._createUsageCoordinator()
     this._notices = new NoticeCoordinator({
       node: settings.name,
       clock,
@@ -165,7 +166,7 @@
       ...(_options.settleTime === undefined ? {} : { settleTime: _options.settleTime })
     }, () => this._lease)
     this._lease = new LeaseRenewer(platform.store, clock, log, {
-      granted: lease => { this._register(lease).catch((error: Error) => log.warn('peers', 'not registered.', { error: error.message })) },
+      granted: lease => { this._register(lease).catch((error: Error) => log.warn('peers', 'entry not registered.', { error: error.message })) },
       ended: () => this.engineCoordinator.releaseAll()
     })
     this._directory = new AdapterDirectory(settings.name, clock, log, this.peers, this._client, this.engineCoordinator, this.members)
@@ -184,12 +185,12 @@
     this._callers = new CallerServer({
       clock,
       maxBodyBytes: () => this.config.table?.config.limits.maxBodyBytes ?? defaultMaxBody,
-      closing: () => this._lastAnswer,
+      closing: () => this._closesConnections,
       handle: incoming => this._intake.handle(incoming)
     })
   }
 
-  private _createUsageDesk (): UsageCoordinator {
+  private _createUsageCoordinator (): UsageCoordinator {
     const { clock, log, settings } = this._options
     return new UsageCoordinator({
       node: settings.name,
@@ -274,9 +275,9 @@
   }
 
   /**
-   * Takes changed settings: bounds at once, addresses at the next start.
+   * Applies changed settings: bounds at once, addresses at the next start.
    *
-   * @returns names of changed settings that wait for a start
+   * @returns names of changed settings that take effect at the next start
    */
   reconfigure (settings: DirectSettings): readonly string[] {
     const before = this._settings
@@ -286,7 +287,7 @@
     return addressSettings.filter(name => settings[name] !== before[name])
   }
 
-  /** Starts; returns once it listens. */
+  /** Starts the entry; resolves once it listens. */
   async start (): Promise<void> {
     const { settings, platform, metrics } = this._options
     const callers = splitAddress(settings.listen_callers)
@@ -306,12 +307,12 @@
   /** Whether the store has stopped answering. */
   get storeLost (): boolean { return this._view.storeLost }
 
-  /** Ports it listens on, as chosen by the kernel where the settings say 0. */
+  /** Ports on which it listens, as chosen by the kernel where a setting is 0. */
   get ports (): { readonly callers: number, readonly ready: number, readonly peers: number } {
     return { callers: portOf(this._callers.server), ready: portOf(this._servers[0]!), peers: this._peerPort }
   }
 
-  /** Peers that start while the store is away find this entry at an address of its own. */
+  /** Serves peers at a fixed address as well, where entries that start during an outage of the store find this one. */
   private async _serveSeeds (): Promise<void> {
     const { listen_control: address } = this._options.settings
     if (address === '') return
@@ -321,7 +322,7 @@
 
   private _peerService (): PeerService {
     return {
-      requestLoad: msg => this._answerPeer(msg),
+      requestLoad: msg => this._handlePeerLoadRequest(msg),
       recordUse: ({ upstream, entry, uses, outstanding }) => this.engineCoordinator.holder(upstream)?.recordUse(entry, uses, outstanding),
       receiveTakeover: msg => this.engineCoordinator.receiveTakeover(msg),
       receiveTerminations: msg => this._quarantine.receiveTerminations(msg),
@@ -337,12 +338,12 @@
     }
   }
 
-  /** Tells the holder of an engine, soon, that a request of this entry there has ended. */
+  /** Reports to the holder of an engine, after a short delay, that a request of this entry there has ended. */
   private _requestEnded (upstream: Upstream): void {
-    this._options.clock.after(tellFreedAfter, () => {
+    this._options.clock.after(reportUseDelay, () => {
       if (this._stopped || !upstream.hasUnreportedUse) return
       this._directory.reportUse(upstream).catch((error: Error) => {
-        this._options.log.info('loads', 'use not told.', { upstream: upstream.id, cause: error.message })
+        this._options.log.info('loads', 'use not reported.', { upstream: upstream.id, cause: error.message })
       })
     })
   }
@@ -358,28 +359,28 @@
     this.engineCoordinator.scheduleReconcile()
   }
 
-  /** Ends what this entry has open of a request that is held back from now on. */
-  private _hold (fingerprint: string): void {
+  /** Ends this entry's open requests with a fingerprint that was just quarantined. */
+  private _endQuarantined (fingerprint: string): void {
     this._options.metrics.heldRequests.inc()
     this._runner.hold(fingerprint)
   }
 
-  private async _answerPeer ({ upstream, loads, ...ask }: LoadRequestMessage): Promise<PeerLoadRequestOutcome> {
+  private async _handlePeerLoadRequest ({ upstream, loads, ...request }: LoadRequestMessage): Promise<PeerLoadRequestOutcome> {
     this._directory.applyLoadDigests(loads)
-    const outcome: LoadRequestOutcome = await this.engineCoordinator.requestLoad(upstream, ask) ?? { kind: 'unavailable', cause: 'not held here' }
+    const outcome: LoadRequestOutcome = await this.engineCoordinator.requestLoad(upstream, request) ?? { kind: 'unavailable', cause: 'not held here' }
     return { ...outcome, loads: this._directory.loadDigestRows() }
   }
 
-  /** Leaves without cutting off a request. */
+  /** Shuts the entry down without cutting off a request. */
   async shutdown (): Promise<void> {
     const { clock, log } = this._options
     this._closing = true
     const until = clock.now() + this._settings.grace_s * 1_000 - graceMargin
-    // The balancer still sends connections until it has noticed; what comes on them is
-    // served, and each answer ends its connection.
-    this._lastAnswer = true
+    // The load balancer sends connections until it notices that the entry is not ready. Their requests are served, and
+    // each answer closes its connection.
+    this._closesConnections = true
     await Promise.all([sleep(clock, balancerNotice), this._lease.stop()])
-    // What comes from here on could not be ended within the grace period.
+    // Requests that arrive from here on might not end within the grace period.
     this._refusing = true
     await Promise.race([this._callers.drained(), sleep(clock, until - clock.now())])
     log.info('entry', 'drained.', { open: this._callers.open })
@@ -387,7 +388,7 @@
     this._stop()
   }
 
-  /** Ends at once, as a crash does: nothing is given back and callers are cut. */
+  /** Stops at once, as a crash does: the lease is not returned and callers are cut off. */
   kill (): void {
     this._lease.abandon()
     this._callers.server.closeAllConnections()
@@ -395,7 +396,7 @@
     this._stop()
   }
 
-  /** Ends all that this entry does by itself. */
+  /** Stops all activity of this entry. */
   private _stop (): void {
     this._stopped = true
     this._quarantine.stop()
--- a/packages/direct/src/lib/entry-settings.ts
+++ b/packages/direct/src/lib/entry-settings.ts
@@ -6,7 +6,7 @@
 import en from 'zod/v4/locales/en.js'
 import * as z from 'zod/mini'
 
-// The small flavour of the library has no messages of its own.
+// `zod/mini` has no error messages of its own.
 z.config(en())
 
 const address = z.string().check(z.regex(/^[\d.]+:\d+$/, 'An address is an IPv4 number, a colon and a port.'))
@@ -22,37 +22,40 @@
   store: address,
   listen_callers: address,
   listen_ready: address,
-  /** Port on which the entries speak to each other. */
+  /** Port on which the entries communicate. */
   peer_port: port,
-  /** Port at which the other entries reach that one, where something translates ports between them; 0 when nothing does. */
+  /** Port at which the other entries reach `peer_port`, where ports are translated between them; 0 when they are not. */
   advertised_peer_port: z._default(port, 0),
   metrics_port: port,
-  /** Where peers may be found while the store is away. */
+  /** Addresses of peers that can be asked during an outage of the store. */
   seeds: z._default(z.array(address), []),
-  /** Where peers that start find this entry; empty when it is no seed. */
+  /** Address at which starting peers find this entry; empty when it is not a seed. */
   listen_control: z._default(z.string(), ''),
   /** Seconds from the signal to stop to the end of the process. */
   grace_s: z._default(atLeast(0), 8),
-  /** Repeats to a service for each request, over all entries. */
+  /** Retries to a service for each request, over all entries. */
   retry_budget_ratio: z._default(atLeast(0), 0.2),
-  /** Repeats to a service on top, in each window, over all entries. */
+  /** Additional retries to a service in each window, over all entries. */
   retry_budget_slack: z._default(atLeast(0), 10),
   budget_window_s: z._default(atLeast(0.1), 10),
-  /** Ms after its acceptance in which a change of the configuration must be in force; also bounds how often the store is asked. */
+  /** Ms within which an accepted change of the configuration must be in force; also limits how often the store is polled. */
   apply_within_ms: z._default(atLeast(100), 2_000),
-  /** Ms after its withdrawal within which a key opens nothing any more, at any entry, also one that is cut off; 0 lets such an entry go on by what it knows. */
+  /**
+   * Ms after its withdrawal within which a key is refused at every entry, also one that is cut off; 0 lets such an
+   * entry go on with the configuration that it has.
+   */
   withdraw_within_ms: z._default(atLeast(0), 0),
-  /** Window over which usage limits are judged. */
+  /** Window over which usage limits apply. */
   usage_window_s: z._default(atLeast(0.1), 8),
-  /** Part of a window's usage by which a limit may be passed at most. */
+  /** Share of a window's usage by which a limit may be exceeded at most. */
   usage_overage: z._default(atLeast(0), 0.1),
-  /** Requests or tokens on top, as the limit counts. */
+  /** Additional requests or tokens, in the limit's unit. */
   usage_slack: z._default(atLeast(0), 0),
-  /** Upstreams that may end under one request before it is held back, wherever it comes in. */
+  /** Upstreams that may terminate while running one request before it is quarantined at all entries. */
   quarantine_after: z._default(z.int().check(z.minimum(1)), 3),
-  /** Seconds for which such a request is held back. */
+  /** Seconds for which such a request is quarantined. */
   quarantine_s: z._default(z.number().check(z.minimum(1), z.maximum(600)), 600),
-  /** Ms within which two holders of an engine must not order it in turn. */
+  /** Ms within which two holders of an engine must not send orders to it in turn. */
   holder_turn_ms: z._default(atLeast(0), 3_000)
 })
 
@@ -60,7 +63,7 @@
 export type DirectSettings = z.infer<typeof schema>
 
 /**
- * Checks a settings text.
+ * Checks the text of a settings file.
  *
  * @param text - TOML
  * @returns the settings, or every problem found with its line
@@ -76,10 +79,10 @@
   return { host: text.slice(0, colon), port: Number(text.slice(colon + 1)) }
 }
 
-/** Settings that take effect at a start only: sockets are open, and peers know them. */
+/** Settings that take effect only at a start: sockets are open, and peers know the addresses. */
 export const addressSettings = ['name', 'zone', 'host', 'store', 'listen_callers', 'listen_ready', 'listen_control', 'peer_port', 'advertised_peer_port', 'metrics_port'] as const
 
-/** Those settings of a process that runs. */
+/** Picks the address settings of a running process. */
 export function pickAddresses (settings: DirectSettings): Pick<DirectSettings, typeof addressSettings[number]> {
   return Object.fromEntries(addressSettings.map(name => [name, settings[name]])) as Pick<DirectSettings, typeof addressSettings[number]>
 }
