--- a/packages/direct/src/lib/connection-pool.ts
+++ b/packages/direct/src/lib/connection-pool.ts
@@ -1,30 +1,29 @@
 /**
- * Connections to one upstream, kept for further requests.
+ * Pool of connections to one upstream.
  */
 import { Agent, type ClientRequest } from 'node:http'
 import { connect, type Socket } from 'node:net'
 import type { Clock, Ms } from '@hazelford/core'
 
-/** Where and how much to connect. */
+/** Where to connect, and how many connections to open. */
 export interface PoolOptions {
   readonly host: string
   readonly port: number
-  /** Connections at most, those in use and idle ones together. */
+  /** Limit on connections, those in use and idle ones together. */
   readonly maxConnections: number
 }
 
-/** Time for a connection to open. Zones are a few ms apart; the first repeat of a lost packet comes after a second. */
+/** Time for a connection to open. Zones are a few ms apart; a lost packet is repeated only after a second. */
 const connectTimeout: Ms = 600
-/** Part of the announced idle time for which a connection is used again. */
+/** Margin by which a connection is reused for less than the announced idle time. */
 const idleMargin: Ms = 300
-/** Idle time assumed of an upstream that announces none. */
+/** Idle time assumed for an upstream that announces none. */
 const defaultIdle: Ms = 900
 /**
- * Idle time after which a request that can't be repeated takes a new connection.
+ * Idle time after which a request that can't be retried gets a new connection.
  *
- * An upstream may close an idle connection while the request is on its way. The request is
- * reset, nobody can tell whether it ran, and its caller gets no answer. A new connection
- * costs a millisecond and can't be stale.
+ * An upstream may close an idle connection while the request is on its way. The request is reset, it is unknown
+ * whether it ran, and its caller gets no answer. A new connection costs a millisecond and can't be stale.
  */
 const unrepeatableIdle: Ms = 250
 
@@ -42,25 +41,25 @@
 
   constructor (private readonly _clock: Clock, private readonly _options: PoolOptions) {}
 
-  /** Whether a request can have a connection. */
+  /** Whether a connection is available for a request. */
   get hasRoom (): boolean { return this._idle.length > 0 || this._open < this._options.maxConnections }
 
   /**
-   * Gives a request's connection.
+   * Provides the connection for a request.
    *
-   * @param repeatable - whether the request may be sent again after a reset
+   * @param repeatable - whether the request may be retried after a reset
    * @returns an agent for one request
    */
   agent (repeatable: boolean): Agent {
     return new OneRequestAgent(() => this._take(repeatable))
   }
 
-  /** Notes how long the upstream keeps idle connections, in whole seconds. */
+  /** Sets how long the upstream keeps idle connections, in whole seconds. */
   setIdleTimeout (seconds: number): void {
     if (Number.isFinite(seconds) && seconds > 0) this._idleLimit = Math.max(0, seconds * 1_000 - idleMargin)
   }
 
-  /** Closes what is idle; connections in use end with their requests and are not taken up again. */
+  /** Closes idle connections; those in use are closed after their requests. */
   close (): void {
     this._closed = true
     for (const { socket, stop } of this._idle) {
@@ -73,7 +72,7 @@
   private _take (repeatable: boolean): Socket {
     const limit = repeatable ? this._idleLimit : Math.min(this._idleLimit, unrepeatableIdle)
     const now = this._clock.now()
-    // The newest first: the others may then grow old and close.
+    // The most recently used connection first, so that the others become stale and close.
     for (let idle = this._idle.pop(); idle !== undefined; idle = this._idle.pop()) {
       idle.stop()
       if (!idle.socket.destroyed && now - idle.since < limit) return idle.socket
@@ -100,8 +99,8 @@
       socket.destroy()
       return
     }
-    // Bytes behind a whole answer belong to no request. Left in the connection they would
-    // be read as the answer to the next one, which is somebody else's.
+    // Bytes after a complete answer belong to no request. Left in the connection they would be read as the answer to
+    // the next request, which may be another caller's.
     if (socket.readableLength > 0) {
       socket.destroy()
       return
@@ -122,7 +121,7 @@
   }
 }
 
-/** Node asks an agent for the connection of a request; this one has it from the pool. */
+/** Node asks an agent for the connection of a request; this agent takes it from the pool. */
 class OneRequestAgent extends Agent {
   constructor (private readonly _take: () => Socket) { super({ keepAlive: true }) }
 
--- a/packages/direct/src/lib/event-framer.ts
+++ b/packages/direct/src/lib/event-framer.ts
@@ -1,14 +1,14 @@
 /**
- * Cuts a stream of server-sent events at the ends of events.
+ * Splits a stream of server-sent events at the ends of events.
  */
 
-/** Whole events of one read. */
+/** Complete events of one read. */
 export interface WholeEvents {
   /** Bytes as received. */
   readonly bytes: Buffer
   /** Id of the last event that has one. */
   readonly lastId: number | undefined
-  /** Whether each id is higher than the one before it. */
+  /** Whether each id is higher than the previous one. */
   readonly inOrder: boolean
 }
 
@@ -16,22 +16,22 @@
 const idLine = /^id: ?(\d+)\r?$/m
 
 /**
- * Keeps an unfinished event until its rest comes.
+ * Buffers an incomplete event until the rest of it arrives.
  *
- * An upstream that fails may stop in the middle of an event. Passed on, half an event would
- * be glued to the first event of the upstream that goes on with the stream.
+ * An upstream that fails may stop in the middle of an event. Passed on, the partial event would run into the first
+ * event of the upstream that resumes the stream.
  */
 export class EventFramer {
   private _rest: Buffer | undefined
 
-  /** @param _lastId - last event that the reader has */
+  /** @param _lastId - id of the last event that the reader has */
   constructor (private _lastId: number | undefined) {}
 
-  /** Whether part of an event is left over. */
+  /** Whether part of an event is buffered. */
   get hasRest (): boolean { return this._rest !== undefined }
 
   /**
-   * Takes bytes.
+   * Adds bytes.
    *
    * @param read - the next read
    * @returns the events completed by it, or undefined
--- a/packages/direct/src/lib/exchange.ts
+++ b/packages/direct/src/lib/exchange.ts
@@ -13,36 +13,36 @@
 export interface AnswerHead {
   readonly status: number
   readonly message: string
-  /** Names and values in turn, without those of one connection. */
+  /** Names and values in turn, without hop-by-hop headers. */
   readonly headers: string[]
   /**
-   * Whether the answer says where it ends. One that ends with its connection may have been
-   * cut short by a server that crashed, and nobody can tell.
+   * Whether the answer declares where it ends. One that ends with its connection may have been cut short by a server
+   * that crashed, which can't be detected.
    */
   readonly framed: boolean
 }
 
-/** A whole answer. */
+/** A complete answer. */
 export interface WholeAnswer extends AnswerHead { readonly body: Buffer }
 
-/** What an exchange tells. After `refused`, `unreachable`, `lost`, `whole` and `end` nothing follows. */
+/** Receives the events of an exchange. `refused`, `unreachable`, `lost`, `whole` and `end` are final. */
 export interface ExchangeSink {
-  /** What the answer's head says of its upstream. */
+  /** The upstream's notice in the answer's head. */
   readonly noticed: (notice: UpstreamNotice) => void
   readonly refused: (refusal: UpstreamRefusal) => void
   readonly unreachable: (cause: string) => void
-  /** `broke`: the connection ended, by whichever side; else the answer was late or not what was asked for. */
+  /** `broke`: the connection ended, from either side; else the answer was late or not the one expected. */
   readonly lost: (cause: string, broke: boolean) => void
-  /** The upstream is silent for longer than it should be; the exchange goes on. */
+  /** The upstream is silent for longer than expected; the exchange goes on. */
   readonly stalled: (cause: string) => void
   readonly whole: (answer: WholeAnswer) => void
-  /** The first bytes of an answer that is passed on as it comes. */
+  /** The head of an answer that is passed on as it arrives. */
   readonly begin: (head: AnswerHead) => void
   readonly data: (bytes: Buffer, lastEventId: number | undefined) => void
   readonly end: () => void
 }
 
-/** What to send, and how long to wait for what. */
+/** What to send, and the time limits for its answer. */
 export interface ExchangeRequest {
   readonly id: string
   readonly instance: string
@@ -52,18 +52,18 @@
   readonly path: string
   readonly headers: string[]
   readonly body: Buffer | undefined
-  /** Whether it may be sent again after a reset. */
+  /** Whether it may be retried after a reset. */
   readonly repeatable: boolean
-  /** Time for the first byte of a plain answer; undefined waits for the caller's limits. */
+  /** Time limit for the first byte of a plain answer; undefined leaves it to the caller's limits. */
   readonly firstByteTimeout: Ms | undefined
-  /** Silence before the first event of a stream after which it counts as stalled; undefined for other answers. */
+  /** Silence before the first event after which a stream counts as stalled; undefined for other answers. */
   readonly firstEventSilence: Ms | undefined
   /** Silence between events after which a stream counts as stalled. */
   readonly gapSilence: Ms | undefined
   readonly lastEventId: number | undefined
 }
 
-/** Answers up to this size are held until they are whole, so that a broken one can be replaced. */
+/** Answers up to this size are buffered until they are complete, so that a broken one can be replaced. */
 const holdLimit = 512 * 1024
 const badGatewayStatus = 500
 const otherInstanceStatus = 421
@@ -73,7 +73,7 @@
   return headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined
 }
 
-/** An exchange under way. */
+/** An exchange in progress. */
 export class Exchange {
   private readonly _req: ClientRequest
   private _res: IncomingMessage | undefined
@@ -101,18 +101,18 @@
     this._req.on('error', error => this._failed(error.message))
     this._req.on('close', () => this._failed('The connection closed without an answer.'))
     this._req.end(body)
-    this._await(_call.firstByteTimeout)
-    this._watch(_call.firstEventSilence, 'No first event')
+    this._limitFirstByte(_call.firstByteTimeout)
+    this._watchSilence(_call.firstEventSilence, 'No first event')
   }
 
-  /** Closes the connection; the sink hears nothing more. */
+  /** Closes the connection; the sink receives no further events. */
   abandon (): void {
     if (this._over) return
     this._finish()
     this._req.destroy()
   }
 
-  /** Stops hearing of the answer but lets the upstream end its work. */
+  /** Discards the answer but lets the upstream finish its work. */
   ignore (): void {
     if (this._over) return
     this._finish()
@@ -127,24 +127,24 @@
     this._timer?.()
   }
 
-  private _await (limit: Ms | undefined): void {
+  private _limitFirstByte (limit: Ms | undefined): void {
     this._timer?.()
     if (limit === undefined) return
-    this._timer = this._clock.after(limit, () => this._broken(`No first byte within ${Math.round(limit)} ms.`))
+    this._timer = this._clock.after(limit, () => this._endAsLost(`No first byte within ${Math.round(limit)} ms.`))
   }
 
-  /** Tells of silence, again and again for as long as it lasts. */
-  private _watch (limit: Ms | undefined, what: string): void {
+  /** Reports silence to the sink, repeatedly for as long as it lasts. */
+  private _watchSilence (limit: Ms | undefined, what: string): void {
     if (limit === undefined) return
     this._timer?.()
     this._timer = this._clock.after(limit, () => {
-      this._watch(limit, what)
+      this._watchSilence(limit, what)
       this._sink.stalled(`${what} within ${Math.round(limit)} ms.`)
     })
   }
 
-  /** The answer can't be had any more. */
-  private _broken (cause: string, broke = false): void {
+  /** Ends the exchange as lost: its answer can't be received any more. */
+  private _endAsLost (cause: string, broke = false): void {
     if (this._over) return
     this._finish()
     this._req.destroy()
@@ -154,7 +154,7 @@
   private _failed (cause: string): void {
     if (this._over) return
     if (this._sent) {
-      this._broken(cause, true)
+      this._endAsLost(cause, true)
       return
     }
     this._finish()
@@ -169,24 +169,24 @@
     }
     this._res = res
     const facts = this._codec.readAnswer(res.statusCode ?? 0, res.rawHeaders)
-    // A late answer to an earlier request can arrive where this one's is expected. Its
-    // caller would get another caller's answer; the id in it tells them apart.
-    if (facts.requestId !== undefined && facts.requestId !== this._call.id) return this._broken(`The answer is to request ${facts.requestId}.`)
-    this._noteIdle(res)
+    // A late answer to an earlier request can arrive in place of this one's, and the caller would get another caller's
+    // answer. The request id in the answer tells them apart.
+    if (facts.requestId !== undefined && facts.requestId !== this._call.id) return this._endAsLost(`The answer is to request ${facts.requestId}.`)
+    this._recordIdleTimeout(res)
     if (!this._isOtherInstance(res, facts)) this._sink.noticed(facts.notice)
     if (facts.notRun) return this._refused(res, this._isOtherInstance(res, facts))
-    if (facts.requestId === undefined || !facts.sealed) return this._broken('The answer lacks its request id or its seal.')
+    if (facts.requestId === undefined || !facts.sealed) return this._endAsLost('The answer lacks its request id or its seal.')
     const ok = (res.statusCode ?? 0) < 300
     if (ok && String(res.headers['content-type']).startsWith(eventStream)) this._readEvents(res)
     else this._readBody(res)
   }
 
-  /** Whether another upstream answers at this address. */
+  /** Whether another upstream instance answers at this address. */
   private _isOtherInstance (res: IncomingMessage, { instance }: AnswerMetadata): boolean {
     return res.statusCode === otherInstanceStatus && instance !== this._call.instance
   }
 
-  private _noteIdle (res: IncomingMessage): void {
+  private _recordIdleTimeout (res: IncomingMessage): void {
     const match = /timeout=(\d+)/.exec(String(res.headers['keep-alive']))
     if (match !== null) this._pool.setIdleTimeout(Number(match[1]))
   }
@@ -207,7 +207,7 @@
     let chunks: Buffer[] = []
     let size = 0
     const release = (): void => {
-      this._await(undefined)
+      this._limitFirstByte(undefined)
       this._begin(res)
       for (const chunk of chunks) this._sink.data(chunk, undefined)
       chunks = []
@@ -232,9 +232,9 @@
       if (this._over) return
       const events = framer.push(chunk)
       if (events === undefined) return
-      if (!events.inOrder) return this._broken('The event ids are out of order.')
-      this._await(undefined)
-      this._watch(this._call.gapSilence, 'No further event')
+      if (!events.inOrder) return this._endAsLost('The event ids are out of order.')
+      this._limitFirstByte(undefined)
+      this._watchSilence(this._call.gapSilence, 'No further event')
       this._begin(res)
       this._sink.data(events.bytes, events.lastId)
     })
@@ -254,14 +254,14 @@
 
   private _ended (res: IncomingMessage, done: () => void): void {
     if (this._over) return
-    // A body that is cut short ends too; only a complete one may be passed on as whole.
-    if (!res.complete) return this._broken('The answer was cut short.', true)
+    // A body that is cut short ends too; only a complete one may be passed on as complete.
+    if (!res.complete) return this._endAsLost('The answer was cut short.', true)
     this._finish()
     done()
   }
 
   private _watchBreaks (res: IncomingMessage): void {
-    res.on('aborted', () => this._broken('The connection broke within the answer.', true))
-    res.on('error', error => this._broken(error.message, true))
+    res.on('aborted', () => this._endAsLost('The connection broke within the answer.', true))
+    res.on('error', error => this._endAsLost(error.message, true))
   }
 }
--- a/packages/direct/src/lib/hop-headers.ts
+++ b/packages/direct/src/lib/hop-headers.ts
@@ -1,14 +1,14 @@
 /**
- * Which headers pass from one connection to the next.
+ * Decides which headers are forwarded from one connection to the next.
  */
 
-/** Headers that belong to one connection (RFC 9110, section 7.6.1), and those that frame a body. */
+/** Hop-by-hop headers (RFC 9110, section 7.6.1), and those that frame a body. */
 const hopHeaders: ReadonlySet<string> = new Set([
   'connection', 'keep-alive', 'proxy-authenticate', 'proxy-authorization', 'proxy-connection',
   'te', 'trailer', 'transfer-encoding', 'upgrade', 'expect', 'content-length'
 ])
 
-/** Names that a `Connection` header declares to belong to this connection alone. */
+/** Names that a `Connection` header declares to be hop-by-hop. */
 function nominated (headers: readonly string[]): ReadonlySet<string> | undefined {
   let names: Set<string> | undefined
   for (let at = 0; at < headers.length; at += 2) {
@@ -19,7 +19,7 @@
 }
 
 /**
- * Leaves out what belongs to one connection.
+ * Removes hop-by-hop headers.
  *
  * @param headers - names and values in turn, as received
  * @returns the others, as received
--- a/packages/direct/src/lib/json-client.ts
+++ b/packages/direct/src/lib/json-client.ts
@@ -14,13 +14,13 @@
   readonly path: string
   readonly headers?: Readonly<Record<string, string>>
   readonly body?: object
-  /** Whether the answer may be long, and is to come compressed if the other side can. */
+  /** Whether the answer may be long, and is requested in compressed form. */
   readonly compressed?: boolean
-  /** Ms until the answer must be whole; a silent connection shows only by this. */
+  /** Ms until the answer must be complete; a silent connection is noticed only by this. */
   readonly timeout: Ms
 }
 
-/** A whole answer. */
+/** A complete answer. */
 export interface JsonAnswer {
   readonly status: number
   /** Undefined when the body is empty. */
@@ -36,10 +36,10 @@
   constructor (message: string, readonly sent: boolean) { super(message) }
 }
 
-/** Larger answers are not what they seem; the largest value of the store is a megabyte, a page of it too. */
+/** Larger answers are rejected as faulty: the largest value of the store is a megabyte, and so is a page of it. */
 const maxAnswerBytes = 8 << 20
 
-/** Name of the one compression that is used, in headers. */
+/** Name of the supported compression, in headers. */
 export const compression = 'gzip'
 
 const decompress = promisify(gunzip)
@@ -48,7 +48,7 @@
  * Reads a JSON body.
  *
  * @param source - a request or an answer
- * @param limit - bytes, also of what it is decompressed to
+ * @param limit - bytes, also of the decompressed body
  * @returns the value; undefined for an empty body
  */
 export async function readJson (source: IncomingMessage, limit: number): Promise<unknown> {
@@ -58,7 +58,7 @@
   try {
     return text === '' ? undefined : JSON.parse(text)
   } catch (error) {
-    throw new Error(`The message is no JSON: ${(error as Error).message}`)
+    throw new Error(`The message is not valid JSON: ${(error as Error).message}`)
   }
 }
 
@@ -82,7 +82,7 @@
  *
  * @param agent - connections to use
  * @param call - what to send
- * @returns rejects with {@link NoAnswer} when no whole answer came in time
+ * @returns rejects with {@link NoAnswer} when no complete answer arrived in time
  */
 export function callJson (agent: Agent, call: JsonCall): Promise<JsonAnswer> {
   const { host, port, method, path, timeout } = call
@@ -94,8 +94,8 @@
     let sent = false
     let answered = false
     const req = request({ agent, host, port, method, path, headers: { ...call.headers, ...framing, ...accepts } })
-    // On a busy host the timer may fire in the turn in which the answer is about to be read. Given up on
-    // then, a call that was answered in time counts as unanswered.
+    // On a busy host the timer may fire in the same turn of the event loop in which the answer is about to be read. A
+    // call that gave up then would count as unanswered although its answer arrived in time.
     const giveUp = (): void => { req.destroy(new Error(`No answer within ${Math.round(timeout)} ms.`)) }
     const timer = setTimeout(() => setImmediate(() => setImmediate(() => { if (!answered) giveUp() })), timeout)
     const fail = (error: Error): void => {
--- a/packages/direct/src/lib/json-log.ts
+++ b/packages/direct/src/lib/json-log.ts
@@ -1,38 +1,38 @@
 /**
- * Structured lines on standard output that never hold the process up.
+ * Structured log lines on standard output that never block the process.
  */
 import type { Log, LogPrefix } from '@hazelford/core'
 import pino, { type DestinationStream } from 'pino'
 
-/** Bytes gathered before a write: one system call for some dozens of lines. */
+/** Bytes buffered before a write: one system call for some dozens of lines. */
 const flushBytes = 8_192
-/** Bytes that wait for a slow reader; further lines are left out and counted. */
-const maxWaiting = 512 * 1024
+/** Bytes buffered for a slow reader; further lines are dropped and counted. */
+const maxBuffered = 512 * 1024
 const flushEvery = 250
 
-/** A log that can be flushed at the end. */
+/** A log that can be flushed before the process exits. */
 export interface JsonLog extends Log {
   readonly flush: () => void
 }
 
 /**
- * Opens the log.
+ * Creates the log.
  *
  * @param name - of the process, on every line
- * @param dropped - hears how many lines were left out since the last call
+ * @param dropped - called with the number of lines dropped since the last call
  */
 export function createJsonLog (name: string, dropped: (lines: number) => void): JsonLog {
-  const out = pino.destination({ dest: 1, sync: false, minLength: flushBytes, maxLength: maxWaiting })
-  let left = 0
-  out.on('drop', () => { left++ })
-  // A reader that goes away must not end the process; its lines are lost with it.
-  out.on('error', () => { left++ })
+  const out = pino.destination({ dest: 1, sync: false, minLength: flushBytes, maxLength: maxBuffered })
+  let droppedLines = 0
+  out.on('drop', () => { droppedLines++ })
+  // A reader that goes away must not end the process; the lines for it are dropped.
+  out.on('error', () => { droppedLines++ })
   const logger = pino({ base: { node: name }, timestamp: pino.stdTimeFunctions.epochTime }, out as DestinationStream)
   const report = (): void => {
     out.flush()
-    if (left === 0) return
-    const lines = left
-    left = 0
+    if (droppedLines === 0) return
+    const lines = droppedLines
+    droppedLines = 0
     dropped(lines)
     logger.warn({ lines }, 'daemon: log lines left out.')
   }
@@ -45,7 +45,7 @@
       try {
         out.flushSync()
       } catch {
-        // The reader is gone; nobody is left to tell.
+        // The reader is gone, so there is no place to report this.
       }
     }
   }
