--- a/packages/direct/src/lib/lease-renewer.ts
+++ b/packages/direct/src/lib/lease-renewer.ts
@@ -1,69 +1,69 @@
 /**
- * Keeps this process's one lease at the store, and knows when it may have ended.
+ * Renews this process's one lease at the store, and knows when it may have ended.
  */
 import { type Clock, type Instant, instantOf, type Log, type Ms, clocksAgree, sleep } from '@hazelford/core'
 import type { Store } from '@hazelford/ports'
 
 /**
- * Time to live. Longer than most outages of the store, so that orders go on through them;
- * after a crash the engines of the dead holder wait this long for another.
+ * Time to live. Longer than most outages of the store, so that load and unload orders continue through them; after a
+ * crash the engines of the crashed holder wait this long for another holder.
  */
 const ttl: Ms = 8_000
 const renewEvery: Ms = 1_500
 const retryAfter: Ms = 300
-/** The holder stops this long before the store may end its lease: for orders under way. */
-const safety: Ms = 1_000
+/** The holder stops this long before the store may end its lease, for orders in progress. */
+const expiryMargin: Ms = 1_000
 
-/** Hears of the lease. */
+/** Called when the lease is granted and when it ends. */
 export interface LeaseListener {
   readonly granted: (lease: number) => void
   readonly ended: () => void
 }
 
-/** Holds a lease for as long as the process lives. */
+/** Maintains a lease for as long as the process runs. */
 export class LeaseRenewer {
   private _lease: number | undefined
   private _validUntil: Ms = -Infinity
   /** When the last renewal that was answered was sent. */
-  private _provedAt: Instant
+  private _renewedAt: Instant
   private _stopped = false
 
   constructor (private readonly _store: Store, private readonly _clock: Clock, private readonly _log: Log, private readonly _listener: LeaseListener) {
-    this._provedAt = instantOf(_clock)
+    this._renewedAt = instantOf(_clock)
   }
 
   get lease (): number | undefined { return this._lease }
 
   /**
-   * Whether the lease surely holds now.
+   * Whether the lease is certain to be valid now.
    *
-   * A process that was suspended thinks that no time has passed. Another may hold its
-   * engines by then, and orders of both would interleave. The wall clock went on; a jump
-   * of it says that only a renewal can tell.
+   * For a process that was suspended, the monotonic clock did not advance. Another entry may hold its engines by then,
+   * and orders of both would interleave. The wall clock did advance; after a jump of it against the monotonic clock,
+   * only a renewal shows whether the lease is valid.
    */
   get valid (): boolean {
-    return this._lease !== undefined && this._clock.now() < this._validUntil && clocksAgree(this._provedAt, instantOf(this._clock))
+    return this._lease !== undefined && this._clock.now() < this._validUntil && clocksAgree(this._renewedAt, instantOf(this._clock))
   }
 
-  start (): void { this._run().catch((error: Error) => this._log.warn('lease', 'keeper stopped.', { error: error.message })) }
+  start (): void { this._run().catch((error: Error) => this._log.warn('lease', 'renewal stopped.', { error: error.message })) }
 
-  /** Renews no more and leaves the lease to lapse. */
+  /** Stops renewing and lets the lease expire. */
   abandon (): void { this._stopped = true }
 
-  /** Gives the lease back, so that its keys go at once. */
+  /** Returns the lease, so that the store removes its keys at once. */
   async stop (): Promise<void> {
     this._stopped = true
     const lease = this._lease
-    this._lose('stopping')
+    this._markLost('stopping')
     if (lease === undefined) return
     const ended = await this._store.endLease(lease)
-    if (ended.isErr()) this._log.info('lease', 'not given back, it will lapse.', { lease, cause: ended.error.message })
+    if (ended.isErr()) this._log.info('lease', 'not returned, it will expire.', { lease, cause: ended.error.message })
   }
 
   private async _run (): Promise<void> {
     while (!this._stopped) {
       const kept = this._lease === undefined ? await this._grant() : await this._renew(this._lease)
-      if (this._lease !== undefined && this._clock.now() >= this._validUntil) this._lose('not renewed in time')
+      if (this._lease !== undefined && this._clock.now() >= this._validUntil) this._markLost('not renewed in time')
       await sleep(this._clock, kept ? renewEvery : retryAfter)
     }
   }
@@ -86,18 +86,18 @@
       this._extend(sentAt, ttl)
       return true
     }
-    if (renewed.error.kind === 'no-lease') this._lose('ended at the store')
+    if (renewed.error.kind === 'no-lease') this._markLost('ended at the store')
     return false
   }
 
-  /** The store counts from the call's arrival, so counting from its sending is safe. */
+  /** The store counts from the arrival of the call, so counting from its sending is safe. */
   private _extend (sentAt: Instant, granted: Ms): void {
-    this._validUntil = sentAt.now + granted - safety
-    // After a pause between sending and reply the lease stays unproved.
-    this._provedAt = sentAt
+    this._validUntil = sentAt.now + granted - expiryMargin
+    // If the process was paused between the call and its answer, the lease still counts as invalid.
+    this._renewedAt = sentAt
   }
 
-  private _lose (cause: string): void {
+  private _markLost (cause: string): void {
     if (this._lease === undefined) return
     this._log.info('lease', 'lost.', { lease: this._lease, cause })
     this._lease = undefined
--- a/packages/direct/src/lib/load-digest.ts
+++ b/packages/direct/src/lib/load-digest.ts
@@ -1,5 +1,5 @@
 /**
- * What entries tell each other of engines' loads, with the messages that they send anyhow.
+ * Digests of engines' loads that entries attach to the messages that they exchange in any case.
  */
 import type { Ms } from '@hazelford/core'
 import type { EngineLoad } from './engine-admission.js'
@@ -12,8 +12,9 @@
 }
 
 /**
- * Digests in one message. With six messages a second each way, as an entry of 68 has, each engine of 84 is heard of about once a
- * second. Sixteen, each with its field names, more than doubled the bytes between zones (62 to 143 MB in 50 s of 28 entries).
+ * Digests in one message. With six messages a second in each direction, as for an entry of 68, an entry receives the
+ * load of each of 84 engines about once a second. Sixteen digests, each with its field names, more than doubled the
+ * bytes sent between zones (62 to 143 MB in 50 s of 28 entries).
  */
 export const maxDigestsPerMessage = 8
 
@@ -33,21 +34,21 @@
   return [{ upstream, running, promptBacklog, age }]
 }
 
-/** Digests of a message; what is none, from another version of the program, is left out. */
+/** Reads the digests of a message; malformed ones, from another version of the program, are left out. */
 export function readDigests (value: unknown): readonly LoadDigest[] {
   return Array.isArray(value) ? value.flatMap(readRow) : []
 }
 
 /**
- * Picks what to tell.
+ * Picks the digests to send.
  *
- * @param own - of engines that this entry holds: nobody has newer ones
- * @param others - as heard
+ * @param own - of engines that this entry holds: no entry has newer ones
+ * @param others - as received
  * @param random - uniform in [0, 1)
  */
 export function pickDigests (own: readonly LoadDigest[], others: readonly LoadDigest[], random: () => number): readonly LoadDigest[] {
   const picked = own.slice(0, maxDigestsPerMessage)
-  // A random start: those told together differ from message to message, and all have their turn.
+  // A random start, so that messages differ and each digest is sent sooner or later.
   const start = Math.floor(random() * others.length)
   for (let n = 0; n < others.length && picked.length < maxDigestsPerMessage; n++) picked.push(others[(start + n) % others.length]!)
   return picked
--- a/packages/direct/src/lib/membership.ts
+++ b/packages/direct/src/lib/membership.ts
@@ -1,73 +1,73 @@
 /**
- * The upstreams that live, from what they write into the store.
+ * The upstreams that are running, from their records in the store.
  */
 import type { Clock, Log, Ms } from '@hazelford/core'
 import { compareStartTimes, type UpstreamRecord } from '@hazelford/ports'
 import { Upstream } from './upstream.js'
 
 /**
- * Time after the store's return within which living upstreams write their lapsed records
- * again (about 2 s), and a little more for our own view of it.
+ * Time after the store's return within which running upstreams write their expired records again (about 2 s), plus a
+ * margin for this entry to receive them.
  */
-const lapseGrace: Ms = 2_300
+const expiryGrace: Ms = 2_300
 
-/** Upstreams that are gone of which the last start is remembered; late words on them come within seconds. */
-const goneKept = 1_000
+/** Upstreams that are gone whose last start time is remembered; late records of them arrive within seconds. */
+const maxGone = 1_000
 
-/** Hears of upstreams. */
+/** Called when upstreams change. */
 export interface MembershipListener {
-  /** How many connections this entry may open to an upstream of a service. */
+  /** Number of connections that this entry may open to an upstream of a service. */
   readonly connections: (service: string) => number
   /** A request of this entry there has ended. */
   readonly requestEnded: (upstream: Upstream) => void
-  /** What was known of this incarnation holds no more. */
+  /** This incarnation is gone, and all state kept for it is void. */
   readonly gone: (upstream: Upstream) => void
-  /** An upstream has started again under its id. */
+  /** An upstream has restarted under its id. */
   readonly restarted: (upstream: Upstream) => void
 }
 
 /** Upstreams by id. */
 export class Membership {
   private readonly _upstreams = new Map<string, Upstream>()
-  /** Records that vanished around an outage of the store, and when they count as gone. */
-  private readonly _lapsed = new Map<string, Ms>()
+  /** Records that vanished around an outage of the store, and when their upstreams count as gone. */
+  private readonly _expiredRecords = new Map<string, Ms>()
   private _storeLost = false
   private _regainedAt: Ms = -Infinity
   private _known = false
 
-  /** Latest start heard of each upstream, gone ones too. */
+  /** Latest known start time of each upstream, gone ones included. */
   private readonly _starts = new Map<string, number>()
-  /** Starts of upstreams that have said that they leave, gone ones too; undefined for one that does not say when it started. */
+  /** Start times of upstreams that have announced that they leave, gone ones included; undefined for one without a start time. */
   private readonly _leaving = new Map<string, number | undefined>()
-  /** Revisions of keys whose values can't be read, so that each is told of once. */
+  /** Revisions of keys whose values can't be read, so that each is logged once. */
   private readonly _unreadable = new Map<string, number>()
 
   constructor (private readonly _clock: Clock, private readonly _log: Log, private readonly _listener: MembershipListener) {}
 
-  /** Whether a whole list was seen. */
+  /** Whether a complete list was received. */
   get known (): boolean { return this._known }
 
   get (id: string): Upstream | undefined { return this._upstreams.get(id) }
 
   all (): IterableIterator<Upstream> { return this._upstreams.values() }
 
-  /** Upstreams of a service that take new requests. */
+  /** Upstreams of a service that accept new requests. */
   serving (service: string): readonly Upstream[] {
     return [...this._upstreams.values()].filter(({ record }) => record.service === service && record.state === 'ready')
   }
 
-  /** Takes the whole list. */
+  /** Applies a complete list. */
   reset (records: readonly UpstreamRecord[]): void {
     this._known = true
     for (const { id } of this._putAll(records)) this.remove(id)
   }
 
-  /** Takes the list of a peer that hears the store; what it has dropped is gone. */
+  /** Applies the list of a peer that reads the store; an upstream that the peer no longer lists is gone. */
   follow (records: readonly UpstreamRecord[]): void {
-    for (const upstream of this._putAll(records)) this._drop(upstream, 'not known to a peer')
+    for (const upstream of this._putAll(records)) this._removeUpstream(upstream, 'not known to a peer')
   }
 
-  /** Takes all records of a list and gives the upstreams that it lacks. */
+  /** Applies all records of a list and returns the known upstreams that it lacks. */
   private _putAll (records: readonly UpstreamRecord[]): readonly Upstream[] {
     const listed = new Set(records.map(({ id }) => id))
     for (const record of records) this.put(record)
@@ -75,11 +75,11 @@
   }
 
   /**
-   * Takes a record.
+   * Applies a record.
    *
-   * An upstream may start again under its id. Taken for the one before, it would be sent requests for adapters that it lost,
-   * on connections that are broken, and stay out for a failure or a drain of its earlier incarnation. A late word of
-   * that one, from a peer or a slow read, would undo the new one.
+   * An upstream may restart under its id. Taken for its former incarnation, it would be sent requests for adapters
+   * that are no longer loaded, on broken connections, and stay excluded for a failure or a drain of that incarnation.
+   * A late record of the former incarnation, from a peer or a slow read, would undo the new one.
    */
   put (record: UpstreamRecord): void {
     const known = this._upstreams.get(record.id)
@@ -88,11 +88,11 @@
       this._log.info('membership', 'record of an earlier incarnation dropped.', { upstream: record.id, startedAt: record.startedAt, known: this._starts.get(record.id) })
       return
     }
-    this._lapsed.delete(record.id)
+    this._expiredRecords.delete(record.id)
     this._unreadable.delete(record.id)
     if (known !== undefined && order === 'same') return this._update(known, record)
-    if (record.startedAt !== undefined) this._noteStart(record.id, record.startedAt)
-    if (known !== undefined) this._drop(known, 'started again')
+    if (record.startedAt !== undefined) this._recordStart(record.id, record.startedAt)
+    if (known !== undefined) this._removeUpstream(known, 'started again')
     const upstream = new Upstream(record, this._clock, this._listener.connections(record.service), this._listener.requestEnded)
     if (this._leaving.has(record.id) && this._leaving.get(record.id) === record.startedAt) upstream.leave()
     this._upstreams.set(record.id, upstream)
@@ -100,7 +100,10 @@
     if (known !== undefined) this._listener.restarted(upstream)
   }
 
-  /** Takes an upstream's own word that it leaves. Its record may lapse and come back, and says ready until the store has taken that word. */
+  /**
+   * Marks an upstream as leaving after its own notice. Its record may expire and come back, and has the state `ready`
+   * until the store has received that it leaves.
+   */
   markLeaving (upstream: Upstream): void {
     const { id, record } = upstream
     this._leaving.delete(id)
@@ -114,7 +117,7 @@
     known.update(record)
   }
 
-  private _noteStart (id: string, startedAt: number): void {
+  private _recordStart (id: string, startedAt: number): void {
     this._starts.delete(id)
     this._starts.set(id, startedAt)
     this._forgetOldest(this._starts)
@@ -122,41 +125,41 @@
 
   private _forgetOldest (kept: Map<string, unknown>): void {
     for (const oldest of kept.keys()) {
-      if (kept.size <= goneKept) break
+      if (kept.size <= maxGone) break
       if (!this._upstreams.has(oldest)) kept.delete(oldest)
     }
   }
 
   /**
-   * Takes a record that can't be read. Somebody else has written it, or the upstream is of a version that this one can't
-   * serve: there is nothing to send requests to.
+   * Handles a record that can't be read. It was not written by an upstream, or by one of a version that this entry
+   * can't serve, so there is nothing to send requests to.
    */
   unreadable (id: string, revision: number, problem: string): void {
     if (this._unreadable.get(id) !== revision) this._log.warn('membership', 'record can not be read.', { upstream: id, revision, problem })
     this._unreadable.set(id, revision)
     this._forgetOldest(this._unreadable)
     const known = this._upstreams.get(id)
-    if (known !== undefined) this._drop(known, 'record can not be read')
+    if (known !== undefined) this._removeUpstream(known, 'record can not be read')
   }
 
   /**
-   * A record is gone from the store.
+   * Handles the removal of a record from the store.
    *
-   * While the store is away, records of living upstreams lapse, since they can't renew
-   * them. Dropping these at its return would leave callers without upstreams that serve.
+   * During an outage of the store, records of running upstreams expire, since they can't be renewed. Removing these
+   * upstreams at its return would leave callers without upstreams that serve.
    */
   remove (id: string): void {
     this._unreadable.delete(id)
     const upstream = this._upstreams.get(id)
     if (upstream === undefined) return
     const now = this._clock.now()
-    const goneAt = this._storeLost ? Infinity : this._regainedAt + lapseGrace
+    const goneAt = this._storeLost ? Infinity : this._regainedAt + expiryGrace
     if (goneAt > now && upstream.record.state === 'ready') {
-      this._lapsed.set(id, goneAt)
+      this._expiredRecords.set(id, goneAt)
       if (goneAt !== Infinity) this._clock.after(goneAt - now, () => this._expire())
       return
     }
-    this._drop(upstream, 'record removed')
+    this._removeUpstream(upstream, 'record removed')
   }
 
   storeLost (): void { this._storeLost = true }
@@ -164,25 +167,25 @@
   storeRegained (): void {
     this._storeLost = false
     this._regainedAt = this._clock.now()
-    for (const id of this._lapsed.keys()) this._lapsed.set(id, this._regainedAt + lapseGrace)
-    this._clock.after(lapseGrace, () => this._expire())
+    for (const id of this._expiredRecords.keys()) this._expiredRecords.set(id, this._regainedAt + expiryGrace)
+    this._clock.after(expiryGrace, () => this._expire())
   }
 
   private _expire (): void {
     const now = this._clock.now()
     let next: Ms = Infinity
-    for (const [id, goneAt] of this._lapsed) {
+    for (const [id, goneAt] of this._expiredRecords) {
       const upstream = this._upstreams.get(id)
       if (goneAt > now) next = Math.min(next, goneAt)
-      else if (upstream !== undefined) this._drop(upstream, 'lapsed')
+      else if (upstream !== undefined) this._removeUpstream(upstream, 'lapsed')
     }
-    // Timers may fire a little early; what is left then would otherwise stay for good.
+    // Timers may fire a little early; a record left then would otherwise stay forever.
     if (next !== Infinity) this._clock.after(Math.max(1, next - now), () => this._expire())
   }
 
-  private _drop (upstream: Upstream, cause: string): void {
+  private _removeUpstream (upstream: Upstream, cause: string): void {
     this._upstreams.delete(upstream.id)
-    this._lapsed.delete(upstream.id)
+    this._expiredRecords.delete(upstream.id)
     upstream.pool.close()
     this._log.info('membership', 'upstream gone.', { upstream: upstream.id, cause, service: upstream.record.service, outstanding: upstream.outstanding })
     this._listener.gone(upstream)
--- a/packages/direct/src/lib/metrics.ts
+++ b/packages/direct/src/lib/metrics.ts
@@ -11,7 +11,7 @@
 const organisationsNamed = 50
 const otherOrganisations = 'others'
 
-/** What an entry measures. */
+/** Metrics of an entry. */
 export class EntryMetrics {
   private readonly _registry = new Registry()
   readonly requests = this._counter('hazelford_requests_total', 'Requests by route kind and end.', ['kind', 'end'])
@@ -45,7 +45,7 @@
 
   text (): Promise<string> { return this._registry.metrics() }
 
-  /** A server that answers with the metrics at `path`. */
+  /** Creates a server that answers with the metrics at `path`. */
   createServer (path: string): Server {
     return createServer((req, res) => {
       if (req.url !== path) {
