--- a/packages/direct/src/lib/peer-client.ts
+++ b/packages/direct/src/lib/peer-client.ts
@@ -13,10 +13,10 @@
 import type { UsageMessage } from './usage-coordinator.js'
 import { readUsageGrants } from './usage-messages.js'
 
-/** Peers are a few ms apart; one that takes longer is cut off, frozen or gone. */
+/** Margin for a peer's answer. Peers are a few ms apart; one that takes longer is cut off, frozen or gone. */
 const answerMargin: Ms = 150
 const stateTimeout: Ms = 1_000
-/** For an answer with many changes over a link of 7 Mbit/s, and a watcher on a fifth of a core. */
+/** Margin for an answer with many changes over a link of 7 Mbit/s, and a watcher on a fifth of a core. */
 const changesMargin: Ms = 300
 
 /** Calls other entries. */
@@ -25,12 +25,12 @@
   private _closed = false
 
   /**
-   * Asks for an adapter.
+   * Requests an adapter.
    *
-   * @param peer - the entry that orders the engine
-   * @param msg - what is asked
-   * @param now - for the time of the promise
-   * @returns rejects when no answer came in time
+   * @param peer - the holder of the engine
+   * @param msg - the load request
+   * @param now - current time, for the end of the reservation
+   * @returns rejects when no answer arrived in time
    */
   async requestLoad (peer: PeerAddress, msg: LoadRequestMessage, now: () => Ms): Promise<PeerLoadRequestOutcome> {
     const sentAt = now()
@@ -40,11 +40,11 @@
     const loads = reply.loads ?? []
     if (reply.kind !== 'ready') return { ...reply, loads }
     const { lasts, version, ...rest } = reply
-    // The promise runs from the reply; counting from the request is the safe side.
+    // The reservation runs from the reply; counting from the request is safe.
     return { ...rest, loads, version, until: Math.max(sentAt, now() - answerMargin) + lasts }
   }
 
-  /** Asks for changes in the store after a revision; rejects when no answer came in time. */
+  /** Polls for changes in the store after a revision; rejects when no answer arrived in time. */
   async changes ({ host, port }: PeerAddress, after: number, wait: Ms): Promise<FeedAnswer> {
     const body: ChangesMessage = { after, wait }
     const answer = await this._call({ host, port, method: 'POST', path: peerPaths.changes, body, compressed: true, timeout: wait + changesMargin })
@@ -54,14 +54,14 @@
     return changes
   }
 
-  /** Asks for configuration and upstreams. */
+  /** Fetches configuration and upstreams. */
   async state ({ host, port }: { readonly host: string, readonly port: number }): Promise<PeerState> {
     const answer = await this._call({ host, port, method: 'GET', path: peerPaths.state, compressed: true, timeout: stateTimeout })
     if (answer.status !== 200) throw new Error(`The peer answered ${answer.status}.`)
     return answer.body as PeerState
   }
 
-  /** Reports usage to the entry that counts it; rejects when it does not answer. */
+  /** Reports usage to its allocator; rejects when the allocator does not answer. */
   async reportUsage ({ host, port }: PeerAddress, msg: UsageMessage): Promise<readonly UsageGrant[]> {
     const { status, body } = await this._call({ host, port, method: 'POST', path: peerPaths.usage, body: msg, timeout: answerMargin })
     const grants = readUsageGrants(body)
@@ -69,7 +69,7 @@
     return grants
   }
 
-  /** Reports what is used of upstreams' limits to the entry that counts it; rejects when it does not answer. */
+  /** Reports the usage of upstreams' limits to their allocator; rejects when the allocator does not answer. */
   async reportLimits ({ host, port }: PeerAddress, msg: LimitReport): Promise<LimitReply> {
     const { status, body } = await this._call({ host, port, method: 'POST', path: peerPaths.limits, body: msg, timeout: answerMargin })
     const [grants, notices] = [readUsageGrants(body), readNotices(body)]
@@ -77,29 +77,29 @@
     return { grants, notices }
   }
 
-  /** Tells an entry what upstreams say of themselves; rejects when it does not answer. */
-  sendNotices (peer: PeerAddress, msg: NoticeMessage): Promise<void> { return this._tell(peer, peerPaths.notices, msg) }
+  /** Sends upstreams' notices to an entry; rejects when it does not answer. */
+  sendNotices (peer: PeerAddress, msg: NoticeMessage): Promise<void> { return this._send(peer, peerPaths.notices, msg) }
 
-  /** Asks as of when a peer knows the configuration; undefined when it does not say. */
+  /** Queries the age of a peer's configuration; undefined when the peer does not send it. */
   async configAge ({ host, port }: PeerAddress): Promise<ConfigAge | undefined> {
     const { status, body } = await this._call({ host, port, method: 'GET', path: peerPaths.configAge, timeout: answerMargin })
     const { version, viewAge } = (body ?? {}) as Partial<ConfigAge>
     return status === 200 && typeof version === 'number' && typeof viewAge === 'number' ? { version, viewAge } : undefined
   }
 
-  /** Tells whether a peer answers; rejects when it does not. */
+  /** Checks that a peer answers; rejects when it does not. */
   async ping ({ host, port }: PeerAddress): Promise<void> {
     await this._call({ host, port, method: 'GET', path: peerPaths.ping, timeout: answerMargin })
   }
 
-  /** Tells a holder what this entry still uses. */
-  reportUse (peer: PeerAddress, msg: UseMessage): Promise<void> { return this._tell(peer, peerPaths.use, msg) }
+  /** Reports to a holder which adapters this entry still uses. */
+  reportUse (peer: PeerAddress, msg: UseMessage): Promise<void> { return this._send(peer, peerPaths.use, msg) }
 
-  /** Tells the former holder of an engine that it has a new one; rejects when it does not answer. */
-  notifyTakeover (peer: PeerAddress, msg: TakeoverMessage): Promise<void> { return this._tell(peer, peerPaths.taken, msg) }
+  /** Notifies the former holder of an engine that it has a new one; rejects when the former holder does not answer. */
+  notifyTakeover (peer: PeerAddress, msg: TakeoverMessage): Promise<void> { return this._send(peer, peerPaths.taken, msg) }
 
-  /** Tells an entry that counts them of ends of upstreams; rejects when it does not answer. */
-  reportTerminations (peer: PeerAddress, msg: TerminationsMessage): Promise<void> { return this._tell(peer, peerPaths.ends, msg) }
+  /** Reports terminations of upstreams to an entry that counts them; rejects when it does not answer. */
+  reportTerminations (peer: PeerAddress, msg: TerminationsMessage): Promise<void> { return this._send(peer, peerPaths.ends, msg) }
 
   /** Asks an entry which of some requests it has answered lately; rejects when it does not answer. */
   async queryAnswered ({ host, port }: PeerAddress, query: AnsweredQuery): Promise<readonly string[]> {
@@ -108,22 +108,22 @@
     return (answer.body as { readonly answered: readonly string[] }).answered
   }
 
-  /** Tells an entry which requests are held back; rejects when it does not answer. */
-  notifyQuarantined (peer: PeerAddress, msg: QuarantinedMessage): Promise<void> { return this._tell(peer, peerPaths.held, msg) }
+  /** Notifies an entry of quarantined requests; rejects when it does not answer. */
+  notifyQuarantined (peer: PeerAddress, msg: QuarantinedMessage): Promise<void> { return this._send(peer, peerPaths.held, msg) }
 
-  /** Ends calls that are under way; later ones are rejected. */
+  /** Ends calls in progress; later ones are rejected. */
   close (): void {
     this._closed = true
     this._agent.destroy()
   }
 
   private async _call (call: JsonCall): Promise<JsonAnswer> {
-    if (this._closed) throw new NoAnswer('This entry has ended.', false)
+    if (this._closed) throw new NoAnswer('This entry has stopped.', false)
     return await callJson(this._agent, call)
   }
 
-  /** One of another version may not know what it is told; nothing was told then. */
-  private async _tell ({ host, port }: PeerAddress, path: string, body: object): Promise<void> {
+  /** Sends a message that needs no answer. A peer of another version may not know the path; the message then counts as not sent. */
+  private async _send ({ host, port }: PeerAddress, path: string, body: object): Promise<void> {
     const { status } = await this._call({ host, port, method: 'POST', path, body, timeout: answerMargin })
     if (status !== 200) throw new Error(`The peer answered ${status}.`)
   }
--- a/packages/direct/src/lib/peer-follower.ts
+++ b/packages/direct/src/lib/peer-follower.ts
@@ -1,5 +1,5 @@
 /**
- * Follows what peers know, while the store does not answer this entry.
+ * Follows the state of peers while the store does not answer this entry.
  */
 import { type Clock, type Instant, instantOf, type Log, type Ms, sleep } from '@hazelford/core'
 import type { PeerClient } from './peer-client.js'
@@ -13,35 +13,35 @@
   readonly client: PeerClient
   /** The other entries. */
   readonly peers: () => readonly PeerAddress[]
-  /** Ms since the store was last heard here. */
+  /** Ms since the store last answered this entry. */
   readonly age: () => Ms
-  /** Longest ms between two answers of a store that does well. */
+  /** Longest ms between two answers of a healthy store. */
   readonly maxAnswerInterval: () => Ms
-  /** `asked`: when the peer was. */
+  /** `asked`: when the request was sent to the peer. */
   readonly apply: (state: PeerState, asked: Instant) => void
 }
 
-/** Beyond the longest turn of a store that does well, what is older has missed its turn. */
+/** Margin beyond the longest interval between two answers of a healthy store, after which the view counts as stale. */
 const staleMargin: Ms = 300
-/** A change must be in force 2 s after it was accepted; one question in this time keeps within it. */
+/** A change must be in force 2 s after it was accepted; one request in this time keeps within that. */
 const followEvery: Ms = 600
 
 /**
- * Asks one peer at a time for what it knows.
+ * Requests the state of one peer at a time.
  *
- * The store may turn some entries away, or be cut off from them, while it serves the others. Such
- * an entry would send requests to upstreams that are gone, know none of the new ones, and ask
- * holders that have lost their lease. A peer that heard the store lately knows better.
+ * The store may reject calls of some entries, or be cut off from them, while it serves the others. Such an entry would
+ * send requests to upstreams that are gone, miss all new ones, and send load requests to holders that have lost their
+ * lease. A peer that the store has answered lately has a better view.
  */
 export class PeerFollower {
   private _stopped = false
-  private _turn = 0
+  private _nextPeer = 0
   private _following = false
 
   constructor (private readonly _options: PeerFollowerOptions) {}
 
   start (): void {
-    this._run().catch((error: Error) => this._options.log.warn('peers', 'no longer followed.', { error: error.message }))
+    this._run().catch((error: Error) => this._options.log.warn('peers', 'following peers stopped.', { error: error.message }))
   }
 
   stop (): void { this._stopped = true }
@@ -57,19 +57,19 @@
   }
 
   private async _follow (): Promise<void> {
-    const { peers, client, age, apply: take, log, clock } = this._options
+    const { peers, client, age, apply, log, clock } = this._options
     const others = peers()
-    const peer = others[this._turn++ % Math.max(1, others.length)]
+    const peer = others[this._nextPeer++ % Math.max(1, others.length)]
     if (peer === undefined) return
     const asked = instantOf(clock)
     const state = await client.state(peer).catch((error: Error) => {
       log.info('peers', 'no state.', { peer: peer.node, cause: error.message })
       return undefined
     })
-    // A peer that has not heard the store either knows nothing better; its view could even be older.
+    // A peer without a recent answer of the store has no better view; it may even be older.
     if (this._stopped || state === undefined || state.age >= Math.min(this._staleAfter, age())) return
     if (!this._following) log.info('peers', 'followed.', { peer: peer.node, age: Math.round(state.age), ownAge: Math.round(age()), version: state.config.version })
     this._following = true
-    take(state, asked)
+    apply(state, asked)
   }
 }
--- a/packages/direct/src/lib/peer-messages.ts
+++ b/packages/direct/src/lib/peer-messages.ts
@@ -1,5 +1,5 @@
 /**
- * What entries say to each other, and at which paths.
+ * Messages between entries, and the paths of their calls.
  */
 import type { Ms } from '@hazelford/core'
 import type { UsageGrant } from '@hazelford/decisions'
@@ -10,7 +10,7 @@
 import type { NoticeMessage } from './notice-messages.js'
 import type { UsageMessage } from './usage-coordinator.js'
 
-/** Where each call is served. */
+/** Path of each call. */
 export const peerPaths = {
   ask: '/adapters/ask',
   use: '/adapters/use',
@@ -27,52 +27,52 @@
   ping: '/ping'
 } as const
 
-/** An adapter asked of another entry. */
+/** A load request to the holder of an engine. */
 export interface LoadRequestMessage extends LoadRequest {
   readonly upstream: string
-  /** What the asking entry knows of engines' loads. */
+  /** Digests of engines' loads known to the sending entry. */
   readonly loads: readonly DigestRow[]
 }
 
-/** The answer to an ask of another entry. */
+/** A holder's answer to a load request of another entry. */
 export type PeerLoadRequestOutcome = LoadRequestOutcome & { readonly loads: readonly DigestRow[] }
 
-/** What an entry still uses at an engine. */
+/** Adapters that an entry still uses at an engine. */
 export interface UseMessage {
   readonly upstream: string
   readonly entry: string
   readonly uses: readonly string[]
-  /** Its open requests there; undefined from an entry of a version that does not say. */
+  /** Its open requests there; undefined from an entry of a version that does not send them. */
   readonly outstanding?: number
 }
 
 /** An engine that has a new holder. */
 export interface TakeoverMessage { readonly upstream: string, readonly fence: number }
 
-/** Upstreams that ended while they had requests, told to an entry that counts such ends. */
+/** Upstreams that terminated while running requests, reported to an entry that counts terminations. */
 export interface TerminationsMessage {
   /** `request`: its fingerprint; `age`: ms since its answer was lost. */
   readonly ends: ReadonlyArray<{ readonly request: string, readonly upstream: string, readonly age: Ms }>
 }
 
-/** Requests that are held back, by their fingerprints. */
+/** Fingerprints of quarantined requests. */
 export interface QuarantinedMessage { readonly requests: readonly string[] }
 
-/** Asks which of some requests were answered whole lately, by their fingerprints. */
+/** Asks which of some requests, by fingerprint, were answered completely in the recent past. */
 export interface AnsweredQuery { readonly requests: readonly string[] }
 
-/** What an entry uses of upstreams' limits, with what these have told it. */
+/** An entry's usage of upstreams' limits, with the notices that it has received from upstreams. */
 export type LimitReport = UsageMessage & NoticeMessage
 
-/** What is lent to it, with what upstreams have told the keeper. */
+/** Usage granted to an entry, with the notices that the allocator has received from upstreams. */
 export interface LimitReply extends NoticeMessage { readonly grants: readonly UsageGrant[] }
 
-/** The answer; a promise is told as the time left, since clocks differ. */
+/** The answer on the wire; a reservation is sent as the time left, since clocks differ. */
 export type LoadRequestReply = { readonly news?: RecentLoadsUpdate, readonly loads?: readonly DigestRow[] } & (
   | { readonly kind: 'ready', readonly lasts: Ms, readonly version?: number, readonly load?: EngineLoad, readonly atDoor?: Ms }
   | { readonly kind: 'coming', readonly atDoor?: Ms }
   | { readonly kind: 'unavailable', readonly cause: UnavailableCause, readonly line?: number, readonly load?: EngineLoad }
 )
 
-/** A question for changes in the store. */
+/** A poll for changes in the store. */
 export interface ChangesMessage { readonly after: number, readonly wait: Ms }
--- a/packages/direct/src/lib/peer-state.ts
+++ b/packages/direct/src/lib/peer-state.ts
@@ -1,5 +1,5 @@
 /**
- * What an entry that starts while the store is away takes from another.
+ * State that an entry which starts during an outage of the store takes over from a peer.
  */
 import { type Clock, type Instant, instantOf, type Log, type Ms, sleep } from '@hazelford/core'
 import type { AdapterVersion, RouteConfig, UpstreamRecord } from '@hazelford/ports'
@@ -8,42 +8,42 @@
 
 /** Everything an entry needs to serve. */
 export interface PeerState {
-  /** Ms since the peer heard the store. */
+  /** Ms since the store last answered the peer. */
   readonly age: Ms
-  /** Ms since which the peer's view may have missed something; undefined from an entry of a version that does not say. */
+  /** Ms since which the peer's view may have missed a change; undefined from an entry of a version that does not send it. */
   readonly viewAge?: Ms
   readonly config: RouteConfig
   readonly versions: readonly AdapterVersion[]
   readonly upstreams: readonly UpstreamRecord[]
   readonly entries: readonly PeerAddress[]
   readonly holders: readonly HolderListing[]
-  /** Fingerprints of requests that are held back; undefined from an entry of a version that does not say. */
+  /** Fingerprints of quarantined requests; undefined from an entry of a version that does not send them. */
   readonly heldRequests?: readonly string[]
 }
 
-/** How well an entry knows the configuration. */
+/** How current an entry's configuration is. */
 export interface ConfigAge {
   readonly version: number
-  /** Ms since which it may have changed unheard. */
+  /** Ms since which it may have changed without the entry knowing. */
   readonly viewAge: Ms
 }
 
 /** Time in which the store answers an entry that starts, if it answers at all. */
-const storeFirst: Ms = 700
-const askAgain: Ms = 500
+const storeGrace: Ms = 700
+const retryPause: Ms = 500
 
 /**
- * Asks peers until something is known.
+ * Requests the state of peers until one answers or the store does.
  *
- * A restart during an outage of the store would otherwise refuse every caller until the
- * outage ends, though the entries beside it know all that is needed.
+ * An entry restarted during an outage of the store would otherwise refuse every caller until the outage ends, although
+ * its peers have all the state that it needs.
  *
- * @param seeds - where peers may be; some may be gone
+ * @param seeds - addresses of peers; some may be gone
  * @param client - calls them
  * @param clock - for the pauses
- * @param log - hears of peers that don't answer
+ * @param log - for peers that don't answer
  * @param known - whether the store has answered meanwhile
- * @param take - takes a peer's state
+ * @param take - applies a peer's state
  */
 export async function fetchStateFromPeers (
   seeds: readonly { readonly host: string, readonly port: number }[],
@@ -51,9 +51,9 @@
   clock: Clock,
   log: Log,
   known: () => boolean,
-  take: (state: PeerState, asked: Instant) => void
+  apply: (state: PeerState, asked: Instant) => void
 ): Promise<void> {
-  await sleep(clock, storeFirst)
+  await sleep(clock, storeGrace)
   while (!known() && seeds.length > 0) {
     for (const seed of seeds) {
       const asked = instantOf(clock)
@@ -62,10 +62,10 @@
         return undefined
       })
       if (state === undefined || known()) continue
-      take(state, asked)
-      log.info('peers', 'state taken.', { peer: `${seed.host}:${seed.port}`, version: state.config.version, upstreams: state.upstreams.length })
+      apply(state, asked)
+      log.info('peers', 'peer state applied.', { peer: `${seed.host}:${seed.port}`, version: state.config.version, upstreams: state.upstreams.length })
       return
     }
-    await sleep(clock, askAgain)
+    await sleep(clock, retryPause)
   }
 }
--- a/packages/direct/src/lib/peer-table.ts
+++ b/packages/direct/src/lib/peer-table.ts
@@ -1,31 +1,31 @@
 /**
- * The other entries, and which of them orders which engine, from their keys in the store.
+ * The other entries and the holders of engines, from their keys in the store.
  */
 import { isIPv4 } from 'node:net'
 import type { Clock, Ms } from '@hazelford/core'
 import type { StoreEvent, StoreItem } from '@hazelford/ports'
 
-/** Keys of the system's own. */
+/** Prefix of hazelford's own keys. */
 export const systemKeyPrefix = 'hazelford/'
 const entriesPrefix = `${systemKeyPrefix}entries/`
 const holdersPrefix = `${systemKeyPrefix}holders/`
 
-/** Where an entry listens for the others. */
+/** Where an entry listens for its peers. */
 export interface PeerAddress {
   readonly node: string
   readonly host: string
   readonly port: number
-  /** Its availability zone; undefined for an entry of a version that does not say. */
+  /** Its availability zone; undefined for an entry of a version that does not send it. */
   readonly zone?: string
 }
 
-/** Who orders an engine. */
+/** The holder of an engine. */
 export interface HolderRecord extends PeerAddress {
-  /** Revision of the key: no two holders have the same, later ones have higher ones. */
+  /** Fencing number, the revision of the holder's key: unique, and higher for each later holder. */
   readonly fence: number
 }
 
-/** A holder with the engine that it orders. */
+/** A holder with the engine that it holds. */
 export interface HolderListing extends HolderRecord { readonly upstream: string }
 
 export function entryKey (node: string): string { return `${entriesPrefix}${node}` }
@@ -37,37 +37,38 @@
     const isAddress = typeof node === 'string' && node !== '' && typeof host === 'string' && isIPv4(host) && Number.isInteger(port) && port! > 0 && port! < 65_536
     return isAddress ? { node, host, port: port!, ...(typeof zone === 'string' ? { zone } : {}) } : undefined
   } catch {
-    // Not written by this version of the program: such a record names nobody we can ask.
+    // Not written by this version of the program, so the record has no address that could be called.
     return undefined
   }
 }
 
 /**
- * Time for which an entry counts that is listed no more. A store that is away for long lets all leases lapse, and entries
- * register again within a second or two of its return: by the list alone, each would take all of what they share.
+ * Time for which an entry that is no longer listed still counts. During a long outage of the store all leases expire,
+ * and entries register again within a second or two of its return. Counted by the list alone, each entry would take
+ * the whole of what they share.
  */
-const countsFor: Ms = 5_000
+const leftEntryTtl: Ms = 5_000
 
-/** What the store says of entries and holders. */
+/** Entries and holders as listed in the store. */
 export class PeerTable {
   private readonly _entries = new Map<string, PeerAddress>()
-  /** Entries that are listed no more, and since when. */
+  /** Entries that are no longer listed, and since when. */
   private readonly _left = new Map<string, Ms>()
   private readonly _holders = new Map<string, HolderRecord>()
-  /** Who held an engine before its key went, for as long as nobody else is known to. */
+  /** Holder of each engine before its key was removed, until another holder is known. */
   private readonly _former = new Map<string, HolderRecord>()
   /** Revisions of holders' keys that can't be read. */
   private readonly _unreadable = new Map<string, number>()
 
-  /** @param _changed - hears of each change */
+  /** @param _changed - called after each change */
   constructor (private readonly _clock: Clock, private readonly _changed: () => void) {}
 
   get entries (): readonly PeerAddress[] { return [...this._entries.values()] }
 
-  /** Entries that share bounds: those that live, this one included once it has registered, and those that did lately. */
+  /** Number of entries that share bounds: those listed, this one included once it has registered, and those listed until lately. */
   get entryCount (): number {
     const now = this._clock.now()
-    for (const [node, since] of this._left) if (now - since >= countsFor) this._left.delete(node)
+    for (const [node, since] of this._left) if (now - since >= leftEntryTtl) this._left.delete(node)
     return Math.max(1, this._entries.size + this._left.size)
   }
 
@@ -75,7 +76,7 @@
 
   get nodes (): readonly string[] { return [...this._entries.keys()] }
 
-  /** Who held an engine that has no holder now. */
+  /** Former holder of an engine that has no holder now. */
   former (upstream: string): HolderRecord | undefined { return this._former.get(upstream) }
 
   holder (upstream: string): HolderRecord | undefined { return this._holders.get(upstream) }
@@ -83,8 +84,8 @@
   /**
    * Revision on which a claim of an engine must be based; 0 when the key does not exist.
    *
-   * A key that can't be read names no holder. Claimed as if it were absent, the engine would be without orders for
-   * as long as the key stands.
+   * A key that can't be read names no holder. Claimed as if the key were absent, the engine would stay without orders
+   * for as long as the key exists.
    */
   holderRevision (upstream: string): number { return this._holders.get(upstream)?.fence ?? this._unreadable.get(upstream) ?? 0 }
 
@@ -95,21 +96,21 @@
   reset (items: readonly StoreItem[]): void {
     this._clearEntries()
     this._unreadable.clear()
-    for (const upstream of [...this._holders.keys()]) this._dropHolder(upstream)
+    for (const upstream of [...this._holders.keys()]) this._removeHolder(upstream)
     for (const item of items) this._put(item)
     this._changed()
   }
 
   /**
-   * Takes the view of a peer that hears the store.
+   * Applies the view of a peer that reads the store.
    *
-   * A holder that is known here with a higher fence than there was claimed after the peer's view.
+   * A holder known here with a higher fencing number than in the peer's view was claimed after that view.
    */
   follow (entries: readonly PeerAddress[], holders: readonly HolderListing[]): void {
     this._clearEntries()
     for (const entry of entries) this._setEntry(entry.node, entry)
     const before = new Map(this._holders)
-    for (const upstream of before.keys()) this._dropHolder(upstream)
+    for (const upstream of before.keys()) this._removeHolder(upstream)
     for (const { upstream, ...record } of holders) {
       const known = before.get(upstream)
       this._setHolder(upstream, known !== undefined && known.fence > record.fence ? known : record)
@@ -130,15 +131,15 @@
     else if (key.startsWith(holdersPrefix)) this._setHolder(key.slice(holdersPrefix.length), { ...address, fence: revision })
   }
 
-  /** Such a record names nobody who can be asked. */
+  /** Such a record names no entry that could be called. */
   private _putUnreadable (key: string, revision: number): void {
     this._remove(key)
     if (key.startsWith(holdersPrefix)) this._unreadable.set(key.slice(holdersPrefix.length), revision)
   }
 
   private _remove (key: string): void {
-    if (key.startsWith(entriesPrefix)) this._dropEntry(key.slice(entriesPrefix.length))
-    else if (key.startsWith(holdersPrefix)) this._dropHolder(key.slice(holdersPrefix.length))
+    if (key.startsWith(entriesPrefix)) this._removeEntry(key.slice(entriesPrefix.length))
+    else if (key.startsWith(holdersPrefix)) this._removeHolder(key.slice(holdersPrefix.length))
   }
 
   private _setEntry (node: string, address: PeerAddress): void {
@@ -146,11 +147,11 @@
     this._left.delete(node)
   }
 
-  private _dropEntry (node: string): void {
+  private _removeEntry (node: string): void {
     if (this._entries.delete(node)) this._left.set(node, this._clock.now())
   }
 
-  private _clearEntries (): void { for (const node of [...this._entries.keys()]) this._dropEntry(node) }
+  private _clearEntries (): void { for (const node of [...this._entries.keys()]) this._removeEntry(node) }
 
   private _setHolder (upstream: string, record: HolderRecord): void {
     this._holders.set(upstream, record)
@@ -158,7 +159,7 @@
     this._former.delete(upstream)
   }
 
-  private _dropHolder (upstream: string): void {
+  private _removeHolder (upstream: string): void {
     const record = this._holders.get(upstream)
     if (record !== undefined) this._former.set(upstream, record)
     this._holders.delete(upstream)
--- a/packages/direct/src/lib/platform-port.ts
+++ b/packages/direct/src/lib/platform-port.ts
@@ -1,13 +1,13 @@
 /**
- * What the adapter of a platform gives to an entry.
+ * The port through which a platform's adapter connects it to an entry.
  */
 import type { Ms } from '@hazelford/core'
 import type { AdapterVersion, CallCodec, EngineControl, RouteConfig, Store, UpstreamNotice, UpstreamRecord } from '@hazelford/ports'
 import type { Result } from 'neverthrow'
 
-/** Where the platform keeps what in the store. */
+/** Keys and prefixes of the platform in the store. */
 export interface StoreLayout {
-  /** Prefix of what operators write. */
+  /** Prefix of the keys that operators write. */
   readonly operators: string
   /** Key of the configuration. */
   readonly config: string
@@ -18,7 +18,7 @@
 /** A value of the store that can't be read, and why. */
 export interface DecodeProblem { readonly message: string }
 
-/** Translates between a platform and the product. Holds no state and no decision. */
+/** Translates between a platform and hazelford. Holds no state and takes no decisions. */
 export interface PlatformPort {
   readonly store: Store
   readonly codec: CallCodec
@@ -29,6 +29,6 @@
   readonly decodeConfig: (value: string) => Result<RouteConfig, DecodeProblem>
   readonly decodeVersion: (value: string) => Result<AdapterVersion, DecodeProblem>
   readonly decodeUpstream: (key: string, value: string) => Result<UpstreamRecord, DecodeProblem>
-  /** `noticed` hears what answers to orders say of the upstream, and how many ms they took. */
+  /** `noticed` is called with the upstream's notices in answers to orders, and with the ms that each answer took. */
   readonly control: (upstream: UpstreamRecord, noticed: (notice: UpstreamNotice, took: Ms) => void) => EngineControl
 }
--- a/packages/direct/src/lib/serve-peers.ts
+++ b/packages/direct/src/lib/serve-peers.ts
@@ -1,5 +1,5 @@
 /**
- * Serves the other entries.
+ * Serves the calls of the other entries.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { promisify } from 'node:util'
@@ -14,11 +14,11 @@
 import type { UsageMessage } from './usage-coordinator.js'
 import { readUsageMessage } from './usage-messages.js'
 
-/** Longest time that a question for changes is held. */
+/** Longest time that a poll for changes is held open. */
 const longestFeedWait: Ms = 2_000
-/** An entry may have requests open on some hundred adapters of an engine, and tell of as many upstreams. */
+/** An entry may have requests open on some hundred adapters of an engine, and report as many upstreams. */
 const maxBody = 128 * 1024
-/** Bytes from which answers are compressed: a large configuration takes longer than callers wait on a slow link. */
+/** Bytes from which answers are compressed: on a slow link a large configuration takes longer than callers wait. */
 const compressFrom = 16 * 1024
 
 const compress = promisify(gzip)
@@ -27,42 +27,42 @@
 export interface PeerService {
   readonly requestLoad: (msg: LoadRequestMessage) => Promise<PeerLoadRequestOutcome>
   readonly recordUse: (msg: UseMessage) => void
-  /** Another entry orders an engine from now on. */
+  /** Another entry holds an engine from now on. */
   readonly receiveTakeover: (msg: TakeoverMessage) => void
   readonly receiveTerminations: (msg: TerminationsMessage) => void
   readonly receiveQuarantined: (msg: QuarantinedMessage) => void
-  /** Which of some requests were answered whole here lately. */
+  /** Which of some requests were answered completely here in the recent past. */
   readonly answered: (msg: AnsweredQuery) => readonly string[]
   readonly now: () => Ms
   /** Changes in the store after a revision. */
   readonly changes: (after: number, wait: Ms) => Promise<FeedAnswer>
-  /** Configuration and upstreams, for a peer that starts while the store is away. */
+  /** Configuration and upstreams, for a peer that starts during an outage of the store. */
   readonly state: () => PeerState | undefined
-  /** As of when the configuration is known, for a peer that can't tell. */
+  /** Age of the configuration, for a peer that can't verify its own. */
   readonly configAge: () => ConfigAge | undefined
-  /** Lends an entry credit of organisations that are counted here. */
+  /** Grants an entry credit of organisations whose allocator this entry is. */
   readonly reportUsage: (msg: UsageMessage) => readonly UsageGrant[]
-  /** Lends an entry requests to upstreams that name a limit. */
+  /** Grants an entry requests to upstreams that announce a limit. */
   readonly reportLimits: (msg: LimitReport) => LimitReply
-  /** Upstreams have told another entry something of themselves. */
+  /** Handles notices that another entry has received from upstreams. */
   readonly receiveNotices: (msg: NoticeMessage) => void
 }
 
-/** What a peer is answered. */
+/** The answer to a peer's call. */
 interface PeerAnswer { readonly status: number, readonly body: object }
 
 function ok (body: object = {}): PeerAnswer { return { status: 200, body } }
 function malformed (problem: string): PeerAnswer { return { status: 400, body: { error: problem } } }
 
-/** Whether there is something to tell yet. */
-function known (body: object | undefined): PeerAnswer {
-  return body === undefined ? { status: 503, body: { error: 'Nothing is known here yet.' } } : ok(body)
+/** Answers with the state, or with 503 while there is none yet. */
+function stateOrUnavailable (body: object | undefined): PeerAnswer {
+  return body === undefined ? { status: 503, body: { error: 'No state is known here yet.' } } : ok(body)
 }
 
 function answerGet (service: PeerService, path: string): PeerAnswer | undefined {
   switch (path) {
-    case peerPaths.state: return known(service.state())
-    case peerPaths.configAge: return known(service.configAge())
+    case peerPaths.state: return stateOrUnavailable(service.state())
+    case peerPaths.configAge: return stateOrUnavailable(service.configAge())
     case peerPaths.ping: return ok()
     default: return undefined
   }
@@ -70,34 +70,34 @@
 
 function answerLimits (service: PeerService, body: unknown): PeerAnswer {
   const [msg, notices] = [readUsageMessage(body), readNotices(body)]
-  return msg === undefined || notices === undefined ? malformed('This is no report of limits.') : ok(service.reportLimits({ ...msg, notices }))
+  return msg === undefined || notices === undefined ? malformed('The body is not a report of upstream limits.') : ok(service.reportLimits({ ...msg, notices }))
 }
 
 function answerUsage (service: PeerService, body: unknown): PeerAnswer {
   const msg = readUsageMessage(body)
-  return msg === undefined ? malformed('This is no report of usage.') : ok({ grants: service.reportUsage(msg) })
+  return msg === undefined ? malformed('The body is not a usage report.') : ok({ grants: service.reportUsage(msg) })
 }
 
 function answerNotices (service: PeerService, body: unknown): PeerAnswer {
   const notices = readNotices(body)
-  if (notices === undefined) return malformed('These are no words of upstreams.')
+  if (notices === undefined) return malformed('The body has no valid upstream notices.')
   service.receiveNotices({ notices })
   return ok()
 }
 
-/** Takes a word that asks for nothing. */
-function take<T> (heard: (msg: T) => void, body: unknown): PeerAnswer {
-  heard(body as T)
+/** Handles a message that needs no answer. */
+function handle<T> (handler: (msg: T) => void, body: unknown): PeerAnswer {
+  handler(body as T)
   return ok()
 }
 
 async function answerPost (service: PeerService, path: string, body: unknown): Promise<PeerAnswer | undefined> {
   switch (path) {
     case peerPaths.ask: return ok(toReply(await service.requestLoad(body as LoadRequestMessage), service.now()))
-    case peerPaths.use: return take(service.recordUse, body)
-    case peerPaths.taken: return take(service.receiveTakeover, body)
-    case peerPaths.ends: return take(service.receiveTerminations, body)
-    case peerPaths.held: return take(service.receiveQuarantined, body)
+    case peerPaths.use: return handle(service.recordUse, body)
+    case peerPaths.taken: return handle(service.receiveTakeover, body)
+    case peerPaths.ends: return handle(service.receiveTerminations, body)
+    case peerPaths.held: return handle(service.receiveQuarantined, body)
     case peerPaths.answered: return ok({ answered: service.answered(body as AnsweredQuery) })
     case peerPaths.usage: return answerUsage(service, body)
     case peerPaths.limits: return answerLimits(service, body)
@@ -131,9 +131,9 @@
 }
 
 /**
- * Serves the other entries.
+ * Serves the calls of the other entries.
  *
- * @param service - what it does for them
+ * @param service - handles them
  * @param host - address to listen on
  * @param port - 0 lets the kernel choose
  */
