--- a/packages/direct/src/lib/request-fingerprint.ts
+++ b/packages/direct/src/lib/request-fingerprint.ts
@@ -3,28 +3,28 @@
  */
 import { callDigest } from '@hazelford/core'
 
-/** What two attempts at the same request have in common. */
+/** What all attempts at one request have in common. */
 export interface RequestContent {
   readonly method: string
   readonly host: string
   readonly path: string
   readonly body: Buffer | undefined
-  /** Whose request it is. Without it one organisation could have requests of another one held back. */
+  /** Organisation that sends it. Without it, one organisation could have requests of another one quarantined. */
   readonly organisation: string | undefined
   readonly model: string | undefined
-  /** One body may end engines with one adapter and be harmless with all others. */
+  /** A body may make engines terminate with one adapter and be harmless with all others. */
   readonly adapter: string | undefined
 }
 
-/** 128 bits: no two of the requests of any day are taken for one. */
+/** 128 bits: no two of the requests of any day collide. */
 const fingerprintHexDigits = 32
 const noBody = Buffer.alloc(0)
 
 /**
- * Names what a request asks for.
+ * Computes the fingerprint of a request.
  *
- * Each attempt of a caller has an id of its own, and its time limit, its event to resume from and the entry that it
- * reaches differ too. Only what is asked, and where, stays.
+ * Each attempt of a caller has an id of its own, and its deadline, its event to resume from and the entry that it
+ * reaches differ too. The fingerprint covers only what all attempts share.
  *
  * @returns the same text for each attempt at the same request
  */
--- a/packages/direct/src/lib/request-intake.ts
+++ b/packages/direct/src/lib/request-intake.ts
@@ -1,5 +1,5 @@
 /**
- * Lets requests in: finds their route, and whose they are.
+ * Admits requests: finds their route and the organisation that sends them.
  */
 import { type Clock, type Log, type Ms, abbreviateKeyDigest } from '@hazelford/core'
 import { type CallerIdentity, identifyCaller, pickService, type RouteTable } from '@hazelford/decisions'
@@ -16,11 +16,11 @@
   readonly call: BufferedCall
   readonly route: Route
   readonly service: string
-  /** The configuration by which it was let in. */
+  /** The configuration by which it was admitted. */
   readonly table: RouteTable
   /** Whether its caller may still send it. */
   readonly isAllowed: () => boolean
-  /** Gives its usage back, when it has not run. */
+  /** Returns its usage, when it has not run. */
   readonly refund: () => void
 }
 
@@ -32,28 +32,28 @@
   readonly codec: CallCodec
   /** The configuration in force; undefined when none is known. */
   readonly table: () => RouteTable | undefined
-  /** Whether nothing more is taken, since the entry ends soon. */
+  /** Whether new requests are refused, since the entry ends soon. */
   readonly refusing: () => boolean
   readonly verifier: ConfigVerifier
   readonly viewAge: () => Ms
-  /** Ms after its acceptance in which a change must be in force. */
+  /** Ms within which an accepted change must be in force. */
   readonly applyWithin: () => Ms
-  /** Takes a request's usage; at once where it need not ask. */
+  /** Takes a request's usage; synchronous where no allocator has to be asked. */
   readonly admit: (organisation: Organisation, tokens: number | undefined) => Admission | Promise<Admission>
   readonly relay: (admitted: AdmittedCall) => void
 }
 
 const noConfigRetryAfter: Ms = 500
-/** Another entry can have the request at once. */
+/** Short, since another entry can run the request at once. */
 const shutdownRetryAfter: Ms = 20
-/** Another entry may hear the store. */
-const unprovenRetryAfter: Ms = 300
+/** Another entry may have a fresh configuration. */
+const unverifiedRetryAfter: Ms = 300
 
-/** Takes requests of callers. */
+/** Handles requests of callers. */
 export class RequestIntake {
   constructor (private readonly _options: RequestIntakeOptions) {}
 
-  /** Takes a request that was read whole. */
+  /** Handles a request that was read completely. */
   handle (incoming: IncomingRequest): void {
     const { metrics, refusing } = this._options
     const table = this._options.table()
@@ -62,47 +62,47 @@
       metrics.requests.inc({ kind: 'none', end: 'shutting-down' })
       return incoming.answer.fail({ kind: 'relay', failure: 'shutting-down', notRun: true, retryAfter: shutdownRetryAfter })
     }
-    if (table.config.access.kind === 'anyone') return this._identified(incoming, table, { kind: 'absent' })
+    if (table.config.access.kind === 'anyone') return this._identify(incoming, table, { kind: 'absent' })
     const credential = this._options.codec.readCredential(incoming.headers)
-    if (!this._mustProve(incoming, table, credential)) {
+    if (!this._mustVerify(incoming, table, credential)) {
       this._options.verifier.refresh()
-      return this._identified(incoming, table, credential)
+      return this._identify(incoming, table, credential)
     }
     this._options.verifier.verify().then(
-      () => this._proved(incoming, credential),
-      (error: Error) => this._options.log.warn('config', 'not proved.', { error: error.message })
+      () => this._verified(incoming, credential),
+      (error: Error) => this._options.log.warn('config', 'configuration not verified.', { error: error.message })
     )
   }
 
   /** Whether the configuration at hand may be too old to decide by. */
-  private _mustProve (incoming: IncomingRequest, table: RouteTable, credential: Credential): boolean {
-    const { verifier: prover, viewAge, applyWithin } = this._options
-    if (!prover.isFresh) return !this._isPublic(incoming, table)
-    // A key that was added is refused for as long as the change is not heard here, and callers don't repeat what got 401.
+  private _mustVerify (incoming: IncomingRequest, table: RouteTable, credential: Credential): boolean {
+    const { verifier, viewAge, applyWithin } = this._options
+    if (!verifier.isFresh) return !this._isPublic(incoming, table)
+    // A key that was just added is refused until the change arrives here, and callers don't retry after 401.
     const isUnknown = credential.kind === 'key' && table.organisationOf(credential.digest) === undefined
     return isUnknown && viewAge() > applyWithin()
   }
 
   private _isPublic ({ host, target }: IncomingRequest, table: RouteTable): boolean { return table.match(host, target)?.public === true }
 
-  private _proved (incoming: IncomingRequest, credential: Credential): void {
-    const { verifier: prover, log, metrics, viewAge } = this._options
+  private _verified (incoming: IncomingRequest, credential: Credential): void {
+    const { verifier, log, metrics, viewAge } = this._options
     const table = this._options.table()
-    // Its caller may have left while the question was under way.
+    // The caller may have left during the query.
     if (table === undefined || incoming.answer.ended || incoming.isGone()) return
-    if (prover.isFresh || this._isPublic(incoming, table)) return this._identified(incoming, table, credential)
+    if (verifier.isFresh || this._isPublic(incoming, table)) return this._identify(incoming, table, credential)
     metrics.requests.inc({ kind: 'none', end: 'config-unproven' })
     log.info('request', 'configuration too old to let callers in.', { request: this._idOf(incoming), age: Math.round(viewAge()), version: table.version })
-    incoming.answer.fail({ kind: 'config-unproven', retryAfter: unprovenRetryAfter })
+    incoming.answer.fail({ kind: 'config-unproven', retryAfter: unverifiedRetryAfter })
   }
 
-  /** Names a request in logs, where it can be read. */
+  /** Request id for the log, where it can be read. */
   private _idOf ({ headers }: IncomingRequest): string | undefined {
     const facts = this._options.codec.readCall(headers)
     return facts.isOk() ? facts.value.id : undefined
   }
 
-  private _identified (incoming: IncomingRequest, table: RouteTable, credential: Credential): void {
+  private _identify (incoming: IncomingRequest, table: RouteTable, credential: Credential): void {
     const { log, metrics } = this._options
     const route = table.match(incoming.host, incoming.target)
     if (route === undefined) {
@@ -147,7 +147,7 @@
     else this._charge(incoming, route, organisation, facts.value, relay)
   }
 
-  /** Takes the request's usage, and lets it in if it is within its organisation's limit. */
+  /** Takes the request's usage, and admits it if it is within its organisation's limit. */
   private _charge (incoming: IncomingRequest, route: Route, organisation: Organisation, facts: CallMetadata, relay: (refund: () => void) => void): void {
     const { admit, log, metrics } = this._options
     const decided = (admission: Admission): void => {
@@ -163,12 +163,13 @@
       incoming.answer.fail({ kind: 'over-limit', organisation: organisation.name, retryAfter })
     }
     const admission = admit(organisation, facts.declaresTokens ? facts.promptTokens + facts.maxOutputTokens : undefined)
-    // In one turn with its reading, the end of its connection can't have been missed.
+    // Decided in the same turn of the event loop in which the request was read, so the close of its connection can't
+    // have been missed.
     if (!(admission instanceof Promise)) decided(admission)
-    else admission.then(decided, (error: Error) => log.warn('request', 'not charged.', { request: facts.id, error: error.message }))
+    else admission.then(decided, (error: Error) => log.warn('request', 'usage not charged.', { request: facts.id, error: error.message }))
   }
 
-  /** Whether the key of a request that was let in still opens its route. */
+  /** Whether the key of an admitted request is still accepted for its route. */
   private _isAllowed (route: Route, credential: Credential, organisation: string | undefined): boolean {
     const table = this._options.table()
     if (organisation === undefined || table === undefined || credential.kind !== 'key') return true
--- a/packages/direct/src/lib/store-follower.ts
+++ b/packages/direct/src/lib/store-follower.ts
@@ -1,5 +1,5 @@
 /**
- * Hears of changes in the store from entries that watch it.
+ * Receives changes in the store from entries that watch it.
  */
 import { type Clock, type Instant, instantOf, type Log, type Ms } from '@hazelford/core'
 import type { StoreRole } from '@hazelford/decisions'
@@ -13,63 +13,63 @@
   readonly role: () => StoreRole
   readonly peer: (node: string) => PeerAddress | undefined
   readonly ask: (peer: PeerAddress, after: number, wait: Ms) => Promise<FeedAnswer>
-  /** Age of the watcher's news beyond which they are too old to go by. */
+  /** Longest age of a watcher's view with which its changes are used. */
   readonly bound: () => Ms
 }
 
-/** How long a watcher holds a question without changes. A dead one shows by its timeout, a little later. */
+/** How long a watcher holds a poll open when there are no changes. A dead watcher is noticed by the timeout, a little later. */
 const longestWait: Ms = 400
-/** How long a watcher that failed, or had old news, is left alone. */
-const avoidFor: Ms = 3_000
-/** Watchers asked before the store itself is. */
-const maxAsked = 2
+/** How long a watcher that failed, or had a stale view, is skipped. */
+const skipFor: Ms = 3_000
+/** Watchers tried before the store itself is asked. */
+const maxPolled = 2
 
-/** Changes that a watcher told. */
+/** Changes received from a watcher. */
 export interface FollowedChanges extends FeedChanges {
-  /** When it was asked. */
+  /** When the poll was sent. */
   readonly asked: Instant
 }
 
-/** Follows watchers, while its entry does not watch by itself. */
+/** Follows watchers while this entry does not watch the store itself. */
 export class StoreFollower {
-  /** Watchers to leave alone, and until when. */
-  private readonly _avoided = new Map<string, Ms>()
+  /** Watchers to skip, and until when. */
+  private readonly _skippedUntil = new Map<string, Ms>()
 
   constructor (private readonly _options: StoreFollowerOptions) {}
 
   /**
-   * Asks a watcher for changes.
+   * Polls a watcher for changes.
    *
    * @param after - revision that is known
-   * @returns undefined when the store must be asked: this entry watches, or no watcher knows better
+   * @returns undefined when the store must be asked: this entry watches it, or no watcher has a usable view
    */
   async changes (after: number): Promise<FollowedChanges | undefined> {
-    const { clock, role: duty, peer } = this._options
-    const own = duty()
+    const { clock, role, peer } = this._options
+    const own = role()
     if (own.kind === 'watch') return undefined
     const now = clock.now()
-    const open = own.watchersToAsk.filter(node => (this._avoided.get(node) ?? -Infinity) <= now)
-    for (const node of open.slice(0, maxAsked)) {
+    const open = own.watchersToAsk.filter(node => (this._skippedUntil.get(node) ?? -Infinity) <= now)
+    for (const node of open.slice(0, maxPolled)) {
       const address = peer(node)
-      const changes = address === undefined ? undefined : await this._ask(address, after)
+      const changes = address === undefined ? undefined : await this._poll(address, after)
       if (changes !== undefined) return changes
     }
     return undefined
   }
 
-  private async _ask (peer: PeerAddress, after: number): Promise<FollowedChanges | undefined> {
+  private async _poll (peer: PeerAddress, after: number): Promise<FollowedChanges | undefined> {
     const { ask, bound, clock } = this._options
     const asked = instantOf(clock)
-    const answer = await ask(peer, after, longestWait).catch((error: Error) => this._avoid(peer, error.message))
+    const answer = await ask(peer, after, longestWait).catch((error: Error) => this._skip(peer, error.message))
     if (answer === undefined) return undefined
-    if (answer.kind === 'not-kept') return this._avoid(peer, 'changes not kept')
-    // A watcher that is cut off from the store answers as before; only the age of its news tells.
-    return answer.age > bound() ? this._avoid(peer, `news of ${answer.age} ms ago`) : { ...answer, asked }
+    if (answer.kind === 'not-kept') return this._skip(peer, 'changes not kept')
+    // A watcher that is cut off from the store answers as before; only the age of its view shows it.
+    return answer.age > bound() ? this._skip(peer, `view is ${answer.age} ms old`) : { ...answer, asked }
   }
 
-  private _avoid (peer: PeerAddress, cause: string): undefined {
-    this._avoided.set(peer.node, this._options.clock.now() + avoidFor)
-    this._options.log.info('store', 'watcher left alone.', { peer: peer.node, cause })
+  private _skip (peer: PeerAddress, cause: string): undefined {
+    this._skippedUntil.set(peer.node, this._options.clock.now() + skipFor)
+    this._options.log.info('store', 'watcher skipped.', { peer: peer.node, cause })
     return undefined
   }
 }
--- a/packages/direct/src/lib/store-mirror.ts
+++ b/packages/direct/src/lib/store-mirror.ts
@@ -1,5 +1,5 @@
 /**
- * Follows what stands in the store.
+ * Mirrors the contents of the store.
  */
 import { type Clock, type Instant, instantOf, type Log, type Ms, sleep } from '@hazelford/core'
 import { fullJitter, type StoreRole, type ViewAge } from '@hazelford/decisions'
@@ -7,7 +7,7 @@
 import { ChangeFeed } from './change-feed.js'
 import type { FollowedChanges } from './store-follower.js'
 
-/** Hears of the store. */
+/** Receives the contents of the store and their changes. */
 export interface StoreMirrorListener {
   /** All items. */
   readonly reset: (items: readonly StoreItem[]) => void
@@ -18,31 +18,30 @@
 }
 
 /**
- * Everything: the store belongs to one deployment, and one watch of all of it costs a third
- * of three watches of its parts.
+ * Empty prefix, for all keys: the store belongs to one deployment, and one watch of all keys costs a third of three
+ * watches of its parts.
  */
 const everything = ''
 /**
- * Longest wait of a watch. A connection that has fallen silent shows only by its timeout, and
- * a change of the configuration must be in force 2 s after it was accepted.
+ * Longest wait of a watch. A connection that has become silent is noticed only by its timeout, and a change of the
+ * configuration must be in force 2 s after it was accepted.
  */
 const watchWait: Ms = 1_200
 /**
- * Pause between two watches, so that changes that come together cost one call: with one entry,
- * and for each further one. The store's rate grows more slowly than the fleet, so the
- * pause grows with it.
+ * Pause between two watches, so that changes that come together cost one call: with one entry, and for each further
+ * one. The store's rate limit grows more slowly than the fleet, so the pause grows with it.
  */
-const gatherBase: Ms = 300
-const gatherEach: Ms = 15
-/** The longest pause, as a part of the time in which a change must be in force. */
-const gatherShare = 1 / 3
+const watchPauseBase: Ms = 300
+const watchPausePerEntry: Ms = 15
+/** Longest pause, as a share of the time in which a change must be in force. */
+const maxWatchPauseShare = 1 / 3
 const backoff = { base: 60, cap: 600 }
-/** For the store's answer and a busy host. */
-const turnMargin: Ms = 150
-/** Failed calls in a row after which the store counts as lost. */
+/** Margin for the store's answer and a busy host. */
+const answerMargin: Ms = 150
+/** Consecutive failed calls after which the store counts as lost. */
 const lostAfter = 2
 
-/** Longest wait of a watch by an entry whose news others follow: they must notice in time when it hears no more. */
+/** Longest wait of a watch by an entry that others follow: the followers must notice in time when it receives no more. */
 const servedWatchWait: Ms = 600
 
 /** What a mirror needs. */
@@ -50,26 +49,26 @@
   readonly store: Store
   readonly clock: Clock
   readonly log: Log
-  /** What this entry and the others do at the store. */
+  /** Roles of this entry and the others at the store. */
   readonly role: () => StoreRole
-  /** Changes after a revision as another entry has heard them; undefined when the store must be asked. */
+  /** Changes after a revision as another entry has received them; undefined when the store must be asked. */
   readonly follow: (after: number) => Promise<FollowedChanges | undefined>
-  /** As of when the view is complete. */
+  /** Tracks since when the view may have missed a change. */
   readonly viewAge: ViewAge
-  /** Time after its acceptance in which a change must be in force. */
+  /** Time within which an accepted change must be in force. */
   readonly applyWithin: () => Ms
 }
 
-/** Mirrors the store for as long as the process lives. */
+/** Mirrors the store for as long as the process runs. */
 export class StoreMirror {
   private _revision = 0
   private _known = false
-  private _anew = false
+  private _isRelistDue = false
   private _failures = 0
   private _isLost = false
   private _stopped = false
-  private _heardAt: Ms = -Infinity
-  /** For entries that follow this one. */
+  private _answeredAt: Ms = -Infinity
+  /** Changes for the entries that follow this one. */
   readonly feed: ChangeFeed
 
   constructor (private readonly _options: StoreMirrorOptions, private readonly _listener: StoreMirrorListener) {
@@ -80,10 +79,10 @@
   get revision (): number { return this._revision }
 
   /**
-   * Reads everything at the next turn instead of going on with the watch. Changes since our revision
-   * would be played again over a newer view that came from elsewhere.
+   * Lists the whole store at the next turn instead of continuing the watch. Changes since this mirror's revision would
+   * be replayed over a newer view that came from a peer.
    */
-  scheduleRelist (): void { this._anew = true }
+  scheduleRelist (): void { this._isRelistDue = true }
 
   /** Whether the store has been read. */
   get known (): boolean { return this._known }
@@ -92,7 +91,7 @@
   get lost (): boolean { return this._isLost }
 
   /** Ms since the store last answered. */
-  age (now: Ms): Ms { return now - this._heardAt }
+  age (now: Ms): Ms { return now - this._answeredAt }
 
   start (): void { this._run().catch((error: Error) => this._options.log.warn('store', 'mirror stopped.', { error: error.message })) }
 
@@ -100,62 +99,62 @@
 
   private async _run (): Promise<void> {
     while (!this._stopped) {
-      const turn = this._known && !this._anew ? await this._follow() || await this._watch() : await this._list()
+      const turn = this._known && !this._isRelistDue ? await this._follow() || await this._watch() : await this._list()
       if (turn === 'failed') await this._pause(this._failed())
-      if (turn === 'heard') this._heard(this._options.clock.now())
-      if (this._known && turn === 'heard') await this._pause(this._gatherPause)
+      if (turn === 'heard') this._recordAnswer(this._options.clock.now())
+      if (this._known && turn === 'heard') await this._pause(this._watchPause)
     }
   }
 
-  /** Longest ms between two answers of a store that does well. */
-  get maxAnswerInterval (): Ms { return this._watchWait + this._gatherPause }
+  /** Longest ms between two answers of a healthy store. */
+  get maxAnswerInterval (): Ms { return this._watchWait + this._watchPause }
 
-  private get _gatherPause (): Ms { return Math.min(this._options.applyWithin() * gatherShare, gatherBase + gatherEach * this._watchers) }
+  private get _watchPause (): Ms { return Math.min(this._options.applyWithin() * maxWatchPauseShare, watchPauseBase + watchPausePerEntry * this._watchers) }
 
   private _pause (delay: Ms): Promise<void> { return sleep(this._options.clock, delay) }
 
   private get _watchWait (): Ms {
-    const duty = this._options.role()
-    return duty.kind === 'watch' && duty.hasFollowers ? servedWatchWait : watchWait
+    const role = this._options.role()
+    return role.kind === 'watch' && role.hasFollowers ? servedWatchWait : watchWait
   }
 
-  /** Entries that share the store's rate. */
+  /** Number of entries that share the store's rate limit. */
   private get _watchers (): number {
-    const duty = this._options.role()
-    return duty.kind === 'watch' ? duty.watchers : duty.watchersToAsk.length
+    const role = this._options.role()
+    return role.kind === 'watch' ? role.watchers : role.watchersToAsk.length
   }
 
-  /** Age beyond which the news of a watcher that others follow are late. */
-  get maxServedInterval (): Ms { return servedWatchWait + this._gatherPause + turnMargin }
+  /** Age beyond which the view of a watcher that others follow is stale. */
+  get maxServedInterval (): Ms { return servedWatchWait + this._watchPause + answerMargin }
 
   private async _list (): Promise<'heard' | 'failed'> {
     const asked = this._instant
     const listing = await this._options.store.list(everything)
     if (listing.isErr()) return 'failed'
-    this._takeListing(listing.value)
-    this._proved(asked, 0)
+    this._applyListing(listing.value)
+    this._recordVerified(asked, 0)
     return 'heard'
   }
 
-  /** Hears of changes from another entry; undefined when the store must be asked. */
+  /** Receives changes from another entry; undefined when the store must be asked. */
   private async _follow (): Promise<'followed' | undefined> {
     const changes = await this._options.follow(this._revision)
-    if (changes === undefined || this._anew) return undefined
-    this._takeChanges(changes)
-    this._proved(changes.asked, changes.viewAge)
-    this._heard(this._options.clock.now() - changes.age)
+    if (changes === undefined || this._isRelistDue) return undefined
+    this._applyChanges(changes)
+    this._recordVerified(changes.asked, changes.viewAge)
+    this._recordAnswer(this._options.clock.now() - changes.age)
     return 'followed'
   }
 
-  private _takeChanges ({ events, revision }: StoreChanges): void {
+  private _applyChanges ({ events, revision }: StoreChanges): void {
     for (const event of events) this._listener.changed(event)
     this._revision = Math.max(this._revision, revision)
     this.feed.add(events, revision)
   }
 
-  private _takeListing (listing: StoreListing): void {
+  private _applyListing (listing: StoreListing): void {
     this._known = true
-    this._anew = false
+    this._isRelistDue = false
     this._revision = listing.revision
     this.feed.reset(listing.revision)
     this._listener.reset(listing.items)
@@ -165,12 +164,12 @@
     const asked = this._instant
     const changes = await this._options.store.watch(everything, this._revision, this._watchWait)
     if (changes.isOk()) {
-      this._takeChanges(changes.value)
-      this._proved(asked, 0)
+      this._applyChanges(changes.value)
+      this._recordVerified(asked, 0)
       return 'heard'
     }
-    // The store no longer has the changes since our revision. Only a read of everything
-    // shows what happened meanwhile; going on from a later revision would miss it for good.
+    // The store no longer has the changes since this mirror's revision. Only a listing of the whole store shows what
+    // happened meanwhile; continuing from a later revision would miss it for good.
     if (changes.error.kind === 'history-lost') {
       this._options.log.info('store', 'history lost, reading everything.', { revision: this._revision })
       this._known = false
@@ -181,12 +180,12 @@
 
   private get _instant (): Instant { return instantOf(this._options.clock) }
 
-  /** Notes that the view holds all that an answer told. */
-  private _proved (asked: Instant, age: Ms): void { this._options.viewAge.answered(asked, age, this._instant) }
+  /** Records that the view contains all that an answer covered. */
+  private _recordVerified (asked: Instant, age: Ms): void { this._options.viewAge.answered(asked, age, this._instant) }
 
-  private _heard (at: Ms): void {
+  private _recordAnswer (at: Ms): void {
     this._failures = 0
-    this._heardAt = Math.max(this._heardAt, at)
+    this._answeredAt = Math.max(this._answeredAt, at)
     if (!this._isLost) return
     this._isLost = false
     this._options.log.info('store', 'regained.', { revision: this._revision })
--- a/packages/direct/src/lib/store-view.ts
+++ b/packages/direct/src/lib/store-view.ts
@@ -1,5 +1,5 @@
 /**
- * What one entry knows from the store, by whichever way it hears of it.
+ * One entry's view of the store, from the store itself or from peers.
  */
 import { type Clock, type Instant, instantOf, type Log, type Ms } from '@hazelford/core'
 import { type RouteTable, storeRole, type StoreRole, ViewAge } from '@hazelford/decisions'
@@ -24,26 +24,26 @@
   readonly clock: Clock
   readonly log: Log
   readonly client: PeerClient
-  /** Time after its acceptance in which a change must be in force. */
+  /** Time within which an accepted change must be in force. */
   readonly applyWithin: () => Ms
-  /** Fingerprints of requests that are held back, for a peer that asks. */
+  /** Fingerprints of quarantined requests, for a peer that asks. */
   readonly heldRequests: () => readonly string[]
 }
 
-/** Hears of what changes. */
+/** Called when the view changes. */
 export interface StoreViewListener extends MembershipListener {
   readonly configured: (table: RouteTable) => void
   readonly declared: (version: AdapterVersion) => void
-  /** A request stands in the store as held back, under this key. */
+  /** A request's quarantine was found in the store, under this key. */
   readonly quarantinedInStore: (key: string) => void
-  /** A peer holds requests back. */
+  /** A peer has quarantined requests. */
   readonly quarantinedByPeer: (requests: readonly string[]) => void
   /** Upstreams, entries or holders have changed. */
   readonly changed: () => void
 }
 
-/** Peers asked at once about the configuration: one of them may be gone. */
-const peersAsked = 2
+/** Peers queried at once about the configuration: one of them may be gone. */
+const peersQueried = 2
 
 /** Configuration, upstreams, entries and holders. */
 export class StoreView {
@@ -71,34 +71,34 @@
     })
   }
 
-  /** Whether it has been read whole, from the store or from a peer. */
+  /** Whether the view is complete, from the store or from a peer. */
   get known (): boolean { return this.config.table !== undefined && this.members.known }
 
   /** Whether the store has stopped answering. */
   get storeLost (): boolean { return this._mirror.lost }
 
-  /** Ms since which the configuration may have changed unheard; infinite when nothing proves it. */
+  /** Ms since which the configuration may have changed without this entry knowing; infinite when it was never verified. */
   get viewAge (): Ms { return this._viewAge.at(this._instant) }
 
-  /** As of when the configuration is known, for a peer that asks; undefined when none is. */
+  /** Age of the configuration, for a peer that asks; undefined when there is none. */
   get configAge (): ConfigAge | undefined {
     const { table } = this.config
     return table === undefined ? undefined : { version: table.version, viewAge: Math.min(longestAge, this.viewAge) }
   }
 
   /**
-   * Asks the store and some peers whether the configuration is still the one in force.
+   * Queries the store and some peers whether the configuration is still the one in force.
    *
-   * @returns ends, each, when an answer is in force or none came
+   * @returns one promise per query, which ends when the answer is in force or none came
    */
   queryConfig (): readonly Promise<void>[] {
     const others = this.peers.entries.filter(({ node }) => node !== this._options.node)
     const from = Math.floor(Math.random() * others.length)
-    const asked = Array.from({ length: Math.min(peersAsked, others.length) }, (_, n) => others[(from + n) % others.length]!)
-    return [this._askStore(), ...asked.map(peer => this._askPeer(peer))]
+    const asked = Array.from({ length: Math.min(peersQueried, others.length) }, (_, n) => others[(from + n) % others.length]!)
+    return [this._queryStore(), ...asked.map(peer => this._queryPeer(peer))]
   }
 
-  private async _askStore (): Promise<void> {
+  private async _queryStore (): Promise<void> {
     const { store, layout } = this._options.platform
     const asked = this._instant
     const listing = await store.list(layout.config)
@@ -107,29 +107,29 @@
     this._viewAge.answered(asked, 0, this._instant)
   }
 
-  private async _askPeer (peer: PeerAddress): Promise<void> {
+  private async _queryPeer (peer: PeerAddress): Promise<void> {
     const { client } = this._options
     const asked = this._instant
-    const told = await client.configAge(peer)
-    if (told === undefined) return
-    // A whole state has hundreds of routes; it is asked for only when it is another one.
-    if (told.version === this.config.table?.version) this._viewAge.answered(asked, told.viewAge, this._instant)
-    else if (told.version > (this.config.table?.version ?? 0)) this._takeConfig(await client.state(peer), asked)
+    const answer = await client.configAge(peer)
+    if (answer === undefined) return
+    // A complete state has hundreds of routes; it is requested only when the version differs.
+    if (answer.version === this.config.table?.version) this._viewAge.answered(asked, answer.viewAge, this._instant)
+    else if (answer.version > (this.config.table?.version ?? 0)) this._applyConfig(await client.state(peer), asked)
   }
 
   private get _instant (): Instant { return instantOf(this._options.clock) }
 
   private get _age (): Ms { return this._mirror.age(this._options.clock.now()) }
 
-  private get _duty (): StoreRole { return storeRole(this._options.node, this.peers.entries) }
+  private get _role (): StoreRole { return storeRole(this._options.node, this.peers.entries) }
 
-  /** @param seeds - where peers may be found while the store is away */
+  /** @param seeds - addresses of peers to ask during an outage of the store */
   start (seeds: readonly { readonly host: string, readonly port: number }[]): void {
     const { client, clock, log } = this._options
     this._mirror.start()
     this._follower.start()
-    fetchStateFromPeers(seeds, client, clock, log, () => this._mirror.known, (state, asked) => this._takeState(state, asked))
-      .catch((error: Error) => log.warn('peers', 'not asked.', { error: error.message }))
+    fetchStateFromPeers(seeds, client, clock, log, () => this._mirror.known, (state, asked) => this._applyState(state, asked))
+      .catch((error: Error) => log.warn('peers', 'state not fetched from peers.', { error: error.message }))
   }
 
   stop (): void {
@@ -140,7 +140,7 @@
   /** Changes after a revision, for an entry that follows this one. */
   changes (after: number, wait: Ms): Promise<FeedAnswer> { return this._mirror.feed.since(after, wait) }
 
-  /** All that a peer needs to serve; undefined while this entry does not know it. */
+  /** All state that a peer needs to serve; undefined while this entry does not have it. */
   get state (): PeerState | undefined {
     const { table } = this.config
     if (table === undefined || !this.members.known) return undefined
@@ -161,7 +161,7 @@
     const follower = new StoreFollower({
       clock,
       log,
-      role: () => this._duty,
+      role: () => this._role,
       peer: node => this.peers.entry(node),
       ask: (peer, after, wait) => client.changes(peer, after, wait),
       bound: () => this._mirror.maxServedInterval
@@ -170,7 +170,7 @@
       store: platform.store,
       clock,
       log,
-      role: () => this._duty,
+      role: () => this._role,
       follow: after => follower.changes(after),
       applyWithin,
       viewAge: this._viewAge
@@ -201,8 +201,8 @@
   }
 
   /**
-   * A key that goes sets no request free: leases can end early while the store is away. Each entry lets go of it by its own
-   * clock.
+   * Handles a change of a quarantine key. Its removal does not release the request, since leases can end early during
+   * an outage of the store. Each entry ends the quarantine by its own clock.
    */
   private _quarantineChanged (event: StoreEvent): void {
     if (event.kind === 'put') this._listener.quarantinedInStore(event.item.key)
@@ -225,24 +225,25 @@
     return []
   }
 
-  /** Takes what a peer knows, where nothing is known yet. */
-  private _takeState (state: PeerState, asked: Instant): void {
-    this._takeConfig(state, asked)
+  /** Applies a peer's state when this entry has none yet. */
+  private _applyState (state: PeerState, asked: Instant): void {
+    this._applyConfig(state, asked)
     this.members.reset(state.upstreams)
     this.peers.follow(state.entries, state.holders)
   }
 
-  /** Takes what a peer has heard from the store, which does not answer here. */
+  /** Applies the state of a peer that reads the store while the store does not answer this entry. */
   private _follow (state: PeerState, asked: Instant): void {
-    this._takeConfig(state, asked)
+    this._applyConfig(state, asked)
     this.members.follow(state.upstreams)
     this.peers.follow(state.entries, state.holders)
     this._mirror.scheduleRelist()
   }
 
-  private _takeConfig ({ config, versions, heldRequests, viewAge }: PeerState, asked: Instant): void {
+  private _applyConfig ({ config, versions, heldRequests, viewAge }: PeerState, asked: Instant): void {
     this._listener.quarantinedByPeer(heldRequests ?? [])
-    // A configuration of an entry that knows no keys does not say who may send requests. Taken, it would let anyone in.
+    // A configuration of an entry without support for keys does not define who may send requests. Applied, it would
+    // admit anyone.
     if (config.access !== undefined) {
       this.config.applyIfNewer(config)
       this._viewAge.answered(asked, viewAge ?? Infinity, this._instant)
--- a/packages/direct/src/lib/upstream.ts
+++ b/packages/direct/src/lib/upstream.ts
@@ -8,13 +8,13 @@
 import type { EngineLoad } from './engine-admission.js'
 import type { RecentLoadsUpdate } from './recent-loads.js'
 
-/** Age at which a word on its load is no better than a guess: streams of some seconds then fill other places. */
-const loadLasts: Ms = 2_000
+/** Age at which a report on its load is no better than a guess: streams of some seconds then fill other batch slots. */
+const loadTtl: Ms = 2_000
 
 /** Adapters whose copies an engine keeps in its host's memory. */
 const recentCapacity = 120
 
-/** What is known of an upstream, and what this entry has there. */
+/** What is known of an upstream, and the requests of this entry there. */
 export class Upstream {
   readonly health = new UpstreamHealth()
   readonly notices = new UpstreamNotices()
@@ -23,31 +23,31 @@
   outstanding = 0
   private _leavesAt: Ms = Infinity
   private _load: EngineLoad & { readonly at: Ms } | undefined
-  /** Prompts sent since its load was counted, which does not have them. */
+  /** Prompts sent since its load was counted, which does not include them. */
   private _sends: { readonly at: Ms, readonly tokens: number }[] = []
   private _changedAt: Ms = -Infinity
-  private _toldAt: Ms = -Infinity
+  private _reportedAt: Ms = -Infinity
   private _streams = 0
   private _paused = 0
   private readonly _uses = new Map<string, number>()
-  /** Versions of adapters that it or its holder said it held, the latest last. */
-  private readonly _recent = new Map<string, number>()
-  private _heard = 0
+  /** Versions of adapters that its record or its holder reported as loaded, the latest last. */
+  private readonly _recentlyLoaded = new Map<string, number>()
+  private _receivedLoads = 0
 
   /**
-   * @param _record - what it says of itself
+   * @param _record - as the upstream wrote it to the store
    * @param _clock - for ages
    * @param maxConnections - of this entry
-   * @param _requestEnded - hears when a request of this entry there has ended, or a place was not used
+   * @param _requestEnded - called when a request of this entry there has ended, or a batch slot was not used
    */
   constructor (private _record: UpstreamRecord, private readonly _clock: Clock, maxConnections: number, private readonly _requestEnded: (upstream: Upstream) => void = () => {}) {
     this.pool = new ConnectionPool(_clock, { host: _record.host, port: _record.port, maxConnections })
-    this._noteLeaving()
-    this._noteAdapters()
+    this._recordLeaving()
+    this._recordAdapters()
   }
 
   /**
-   * Takes a word on its load, unless a newer one is known.
+   * Applies a report on its load, unless a newer one is known.
    *
    * @param load - as its holder counted
    * @param age - ms since then
@@ -59,17 +59,17 @@
     this._sends = this._sends.filter(send => send.at > at)
   }
 
-  /** Its load as far as is known, for another entry. */
+  /** Its load as far as it is known, for another entry. */
   get load (): EngineLoad & { readonly age: Ms } | undefined {
     const load = this._knownLoad
     return load && { running: load.running, promptBacklog: load.promptBacklog, age: Math.round(this._clock.now() - load.at) }
   }
 
   private get _knownLoad (): (EngineLoad & { readonly at: Ms }) | undefined {
-    return this._load !== undefined && this._clock.now() - this._load.at < loadLasts ? this._load : undefined
+    return this._load !== undefined && this._clock.now() - this._load.at < loadTtl ? this._load : undefined
   }
 
-  /** Requests that all entries have there; undefined when no word is young enough. */
+  /** Requests that all entries have there; undefined without a fresh report. */
   get running (): number | undefined {
     const load = this._knownLoad
     return load === undefined ? undefined : Math.max(this.outstanding, load.running + this._sends.length)
@@ -83,20 +83,20 @@
     return Math.max(0, load.promptBacklog + sent - (this._clock.now() - load.at) * promptTokensPerMs)
   }
 
-  /** Notes a prompt on its way there. */
+  /** Records a prompt on its way there. */
   recordPrompt (tokens: number): void {
     const at = this._clock.now()
-    this._sends = this._sends.filter(send => at - send.at < loadLasts)
+    this._sends = this._sends.filter(send => at - send.at < loadTtl)
     this._sends.push({ at, tokens })
   }
 
-  /** Notes how a stream there went. */
+  /** Records a stream that ended there; `paused`: whether it had too long a pause. */
   recordStream (paused: boolean): void {
     this._streams++
     if (paused) this._paused++
   }
 
-  /** Streams ended since the last call. */
+  /** Returns and resets the counts of ended streams. */
   takeStreamCounts (): { readonly streams: number, readonly paused: number } {
     const taken = { streams: this._streams, paused: this._paused }
     this._streams = 0
@@ -108,10 +108,10 @@
   get uses (): readonly string[] { return [...this._uses.keys()] }
 
   /**
-   * Notes a request there.
+   * Records a request there.
    *
    * @param adapter - `model/adapter`, if it uses one
-   * @returns notes its end
+   * @returns records its end
    */
   open (adapter: string | undefined): () => void {
     this.outstanding++
@@ -121,7 +121,7 @@
       if (!isOpen) return
       isOpen = false
       this.outstanding--
-      this._oweWord()
+      this._recordUseChange()
       if (adapter === undefined) return
       const left = (this._uses.get(adapter) ?? 1) - 1
       if (left > 0) this._uses.set(adapter, left)
@@ -129,78 +129,78 @@
     }
   }
 
-  /** Notes that a place which its holder gave to a request of this entry was not used. */
-  recordUnusedSlot (): void { this._oweWord() }
+  /** Records that a batch slot which the holder granted to a request of this entry was not used. */
+  recordUnusedSlot (): void { this._recordUseChange() }
 
-  private _oweWord (): void {
+  private _recordUseChange (): void {
     this._changedAt = this._clock.now()
     this._requestEnded(this)
   }
 
-  /** Whether a request ended since its holder was last told what is in use. */
-  get hasUnreportedUse (): boolean { return this._changedAt > this._toldAt }
+  /** Whether a request ended since this entry's use was last reported to the holder. */
+  get hasUnreportedUse (): boolean { return this._changedAt > this._reportedAt }
 
-  /** Notes that its holder is being told what is in use. */
-  markReported (): void { this._toldAt = this._clock.now() }
+  /** Records that this entry's use is being reported to the holder. */
+  markReported (): void { this._reportedAt = this._clock.now() }
 
   get record (): UpstreamRecord { return this._record }
   get id (): string { return this._record.id }
 
-  /** When it is gone, if it was told to leave at short notice. */
+  /** When it will be gone, if it leaves at short notice. */
   get leavesAt (): Ms { return this._leavesAt }
 
-  /** Takes its own word that it leaves, which the store may not have yet. */
+  /** Applies its own notice that it leaves, which the store may not have yet. */
   leave (): void {
     this.notices.recordLeaving()
     this._record = { ...this._record, state: 'draining' }
   }
 
   update (record: UpstreamRecord): void {
-    // An incarnation that leaves never comes back; a late word must not undo it.
+    // An incarnation that leaves never comes back; a late record must not undo that.
     this._record = this._record.state === 'draining' ? { ...record, state: 'draining' } : record
-    this._noteLeaving()
-    this._noteAdapters()
+    this._recordLeaving()
+    this._recordAdapters()
   }
 
-  /** What this entry has heard of its loads. */
-  get heard (): number { return this._heard }
+  /** Number of its recent loads that this entry has received. */
+  get heard (): number { return this._receivedLoads }
 
-  /** Takes its holder's word on loads that its record may not show. */
+  /** Applies its holder's report on loads that its record may not show. */
   recordRecentLoads ({ heard, loads }: RecentLoadsUpdate): void {
-    this._heard = heard
-    for (const { key, version } of loads) this._noteHeld(key, version)
+    this._receivedLoads = heard
+    for (const { key, version } of loads) this._recordLoaded(key, version)
     this._forgetOldest()
   }
 
-  private _noteHeld (key: string, version: number): void {
-    const newest = Math.max(version, this._recent.get(key) ?? 0)
-    this._recent.delete(key)
-    this._recent.set(key, newest)
+  private _recordLoaded (key: string, version: number): void {
+    const newest = Math.max(version, this._recentlyLoaded.get(key) ?? 0)
+    this._recentlyLoaded.delete(key)
+    this._recentlyLoaded.set(key, newest)
   }
 
-  /** Whether it held an adapter lately, as far as its record or its holder said: a load of it reads a copy in the host's memory. */
+  /** Whether it had an adapter loaded lately, by its record or its holder's report: loading it again reads a copy in the host's memory. */
   wasRecentlyLoaded (adapter: string, version: number | undefined): boolean {
-    const held = this._recent.get(adapter)
+    const held = this._recentlyLoaded.get(adapter)
     return held !== undefined && held >= (version ?? 0)
   }
 
-  private _noteAdapters (): void {
+  private _recordAdapters (): void {
     for (const { model, adapters } of this._record.models) {
       for (const { adapter, version } of adapters) {
-        this._noteHeld(requestedAdapterKey({ model, adapter }), version)
+        this._recordLoaded(requestedAdapterKey({ model, adapter }), version)
       }
     }
     this._forgetOldest()
   }
 
   private _forgetOldest (): void {
-    for (const oldest of this._recent.keys()) {
-      if (this._recent.size <= recentCapacity) break
-      this._recent.delete(oldest)
+    for (const oldest of this._recentlyLoaded.keys()) {
+      if (this._recentlyLoaded.size <= recentCapacity) break
+      this._recentlyLoaded.delete(oldest)
     }
   }
 
-  private _noteLeaving (): void {
+  private _recordLeaving (): void {
     const { leavesIn } = this._record
     if (leavesIn !== undefined && this._leavesAt === Infinity) this._leavesAt = this._clock.now() + leavesIn
   }
