--- a/packages/direct/src/index.ts
+++ b/packages/direct/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * An entry that sends requests to upstreams directly and orders their adapters under leases.
+ * An entry that sends requests to upstreams directly, and loads and unloads adapters on the engines whose leases it holds.
  *
  * @packageDocumentation
  */
--- a/packages/direct/src/lib/adapter-directory.ts
+++ b/packages/direct/src/lib/adapter-directory.ts
@@ -99,10 +99,10 @@
 
   /** Whether the upstream's own record lists the adapter. Records lag, but stay available through an outage of the store. */
   private _listed ({ record }: Upstream, want: RequestedAdapter): boolean {
-    const model = record.models.find(held => held.model === want.model)
+    const model = record.models.find(loaded => loaded.model === want.model)
     if (model === undefined) return false
     if (want.adapter === undefined) return true
-    return model.adapters.some(held => held.adapter === want.adapter && (want.version === undefined || held.version >= want.version))
+    return model.adapters.some(loaded => loaded.adapter === want.adapter && (want.version === undefined || loaded.version >= want.version))
   }
 
   /** Removes a reservation that the upstream did not keep. */
--- a/packages/direct/src/lib/engine-coordinator.ts
+++ b/packages/direct/src/lib/engine-coordinator.ts
@@ -137,7 +137,7 @@
   }
 
   /** Entries that have been listed long enough to be given engines, and the holder of each engine. */
-  private _settledShares (now: Ms): EngineAssignment {
+  private _settledAssignment (now: Ms): EngineAssignment {
     const entries = [...this._listedSince].filter(([, since]) => now - since >= this._handoverAfter).map(([node]) => node)
     return { entries, holders: this._knownHolders() }
   }
@@ -150,7 +150,7 @@
 
   private _startHandoverIfDue (now: Ms): void {
     if (this._handingOver || this._claiming || now - this._lastHandoverAt < handoverPause || !this._lease().valid) return
-    const handover = pickHandover(this._options.self.node, this._settledShares(now), engine => {
+    const handover = pickHandover(this._options.self.node, this._settledAssignment(now), engine => {
       const holder = this._holders.get(engine)
       return holder !== undefined && now - holder.heldSince >= this._handoverAfter
     })
@@ -198,7 +198,7 @@
     const { peers, self, clock } = this._options
     const claimable: Upstream[] = []
     const seen = new Set<string>()
-    const orders = claimSequences(this._unheld().map(({ id }) => id), { entries: peers.nodes, holders: this._knownHolders() })
+    const sequences = claimSequences(this._unheld().map(({ id }) => id), { entries: peers.nodes, holders: this._knownHolders() })
     const settling = clock.now() - this._startedAt < this._settleTime
     if (settling || !this._lease().valid) this._options.clock.after(this._settleTime / 3, () => this.scheduleReconcile())
     if (!this._lease().valid) return []
@@ -211,9 +211,9 @@
       seen.add(upstream.id)
       const since = this._unheldSince.get(upstream.id) ?? now
       this._unheldSince.set(upstream.id, since)
-      const rank = orders.get(upstream.id)?.indexOf(self.node) ?? -1
-      const mayReturn = peers.former(upstream.id)?.node === self.node || this._reclaimCooldown.mayReclaim(upstream.id, now)
-      if (isOwn || (!settling && mayReturn && rank >= 0 && now - since >= rank * claimStep)) claimable.push(upstream)
+      const rank = sequences.get(upstream.id)?.indexOf(self.node) ?? -1
+      const mayReclaim = peers.former(upstream.id)?.node === self.node || this._reclaimCooldown.mayReclaim(upstream.id, now)
+      if (isOwn || (!settling && mayReclaim && rank >= 0 && now - since >= rank * claimStep)) claimable.push(upstream)
     }
     for (const id of this._unheldSince.keys()) if (!seen.has(id)) this._unheldSince.delete(id)
     return claimable.slice(0, claimsAtOnce)
--- a/packages/direct/src/lib/membership.ts
+++ b/packages/direct/src/lib/membership.ts
@@ -123,10 +123,10 @@
     this._forgetOldest(this._starts)
   }
 
-  private _forgetOldest (kept: Map<string, unknown>): void {
-    for (const oldest of kept.keys()) {
-      if (kept.size <= maxGone) break
-      if (!this._upstreams.has(oldest)) kept.delete(oldest)
+  private _forgetOldest (byUpstream: Map<string, unknown>): void {
+    for (const oldest of byUpstream.keys()) {
+      if (byUpstream.size <= maxGone) break
+      if (!this._upstreams.has(oldest)) byUpstream.delete(oldest)
     }
   }
 
--- a/packages/direct/src/lib/placer.ts
+++ b/packages/direct/src/lib/placer.ts
@@ -259,13 +259,13 @@
   }
 
   private _rankCapable (query: PlaceQuery, open: readonly Upstream[]): readonly Upstream[] {
-    const holding = query.want === undefined ? open : this._withModel(open, query.want.model)
-    return this._rank(query, holding.length > 0 ? holding : open)
+    const withModel = query.want === undefined ? open : this._withModel(open, query.want.model)
+    return this._rank(query, withModel.length > 0 ? withModel : open)
   }
 
   /** Engines that have the model; loading a model takes longer than any caller waits. */
   private _withModel (upstreams: readonly Upstream[], model: string): readonly Upstream[] {
-    return upstreams.filter(({ record }) => record.models.some(held => held.model === model))
+    return upstreams.filter(({ record }) => record.models.some(loaded => loaded.model === model))
   }
 
   private _rank (query: PlaceQuery, upstreams: readonly Upstream[]): readonly Upstream[] {
--- a/packages/direct/src/lib/store-view.ts
+++ b/packages/direct/src/lib/store-view.ts
@@ -195,8 +195,8 @@
     const { operators, upstreams } = this._options.platform.layout
     const key = event.kind === 'put' ? event.item.key : event.key
     if (key.startsWith(operators)) this.config.apply(event)
-    else if (key.startsWith(upstreams)) this._upstreamChanged(event)
-    else if (key.startsWith(quarantinePrefix)) this._quarantineChanged(event)
+    else if (key.startsWith(upstreams)) this._applyUpstreamChange(event)
+    else if (key.startsWith(quarantinePrefix)) this._applyQuarantineChange(event)
     else if (key.startsWith(systemKeyPrefix)) this.peers.apply(event)
   }
 
@@ -204,11 +204,11 @@
    * Handles a change of a quarantine key. Its removal does not release the request, since leases can end early during
    * an outage of the store. Each entry ends the quarantine by its own clock.
    */
-  private _quarantineChanged (event: StoreEvent): void {
+  private _applyQuarantineChange (event: StoreEvent): void {
     if (event.kind === 'put') this._listener.quarantinedInStore(event.item.key)
   }
 
-  private _upstreamChanged (event: StoreEvent): void {
+  private _applyUpstreamChange (event: StoreEvent): void {
     if (event.kind === 'put') {
       for (const record of this._decodeUpstream(event.item)) this.members.put(record)
     } else {
--- a/packages/direct/src/lib/upstream.ts
+++ b/packages/direct/src/lib/upstream.ts
@@ -180,8 +180,8 @@
 
   /** Whether it had an adapter loaded lately, by its record or its holder's report: loading it again reads a copy in the host's memory. */
   wasRecentlyLoaded (adapter: string, version: number | undefined): boolean {
-    const held = this._recentlyLoaded.get(adapter)
-    return held !== undefined && held >= (version ?? 0)
+    const loadedVersion = this._recentlyLoaded.get(adapter)
+    return loadedVersion !== undefined && loadedVersion >= (version ?? 0)
   }
 
   private _recordAdapters (): void {
