--- a/packages/direct/src/lib/current-config.ts
+++ b/packages/direct/src/lib/current-config.ts
@@ -77,9 +77,9 @@
   /** Applies a declared version unless a newer one is known. */
   declare (declared: AdapterVersion): void {
     const { model, adapter, version } = declared
-    const known = versionKey(model, adapter)
-    if (version <= (this._declared.get(known)?.version ?? 0)) return
-    this._declared.set(known, declared)
+    const key = versionKey(model, adapter)
+    if (version <= (this._declared.get(key)?.version ?? 0)) return
+    this._declared.set(key, declared)
     this._log.info('config', 'adapter version declared.', { model, adapter, version })
     this._listener.declared(declared)
   }
--- a/packages/direct/src/lib/engine-coordinator.ts
+++ b/packages/direct/src/lib/engine-coordinator.ts
@@ -26,7 +26,7 @@
   readonly serviceTime: (service: string) => Ms
   /** Notifies the former holder of an engine that this entry has taken the engine over. */
   readonly notifyTakeover: (former: PeerAddress, msg: TakeoverMessage) => Promise<void>
-  /** Ms within which two holders must not send load and unload orders to one engine in turn. */
+  /** Ms within which the orders of two holders to one engine must not alternate: A, then B, then A again. */
   readonly holderTurn: Ms
   /** Ms after the start before the first claim. */
   readonly settleTime?: Ms
--- a/packages/direct/src/lib/entry-settings.ts
+++ b/packages/direct/src/lib/entry-settings.ts
@@ -55,7 +55,7 @@
   quarantine_after: z._default(z.int().check(z.minimum(1)), 3),
   /** Seconds for which such a request is quarantined. */
   quarantine_s: z._default(z.number().check(z.minimum(1), z.maximum(600)), 600),
-  /** Ms within which two holders of an engine must not send orders to it in turn. */
+  /** Ms within which the orders of two holders to one engine must not alternate: A, then B, then A again. */
   holder_turn_ms: z._default(atLeast(0), 3_000)
 })
 
--- a/packages/direct/src/lib/exchange.ts
+++ b/packages/direct/src/lib/exchange.ts
@@ -9,7 +9,7 @@
 import { EventFramer } from './event-framer.js'
 import { endToEndHeaders } from './hop-headers.js'
 
-/** The start of an answer. */
+/** Status line and headers of an answer. */
 export interface AnswerHead {
   readonly status: number
   readonly message: string
--- a/packages/direct/src/lib/recent-loads.ts
+++ b/packages/direct/src/lib/recent-loads.ts
@@ -18,7 +18,7 @@
 
 /**
  * Loads kept, and sent at once. Each entry sends several load requests a second, while an engine loads about five
- * adapters in that time.
+ * adapters a second.
  */
 const maxLoads = 32
 
--- a/packages/direct/src/lib/relay-task.ts
+++ b/packages/direct/src/lib/relay-task.ts
@@ -62,7 +62,7 @@
   readonly retryAfter: (failure: RelayFailure) => Ms
   readonly adapterBroken: (upstream: string, want: RequestedAdapter) => void
   /** `serviceTime`: ms from the send to its end. */
-  readonly exchanged: (upstream: Upstream, outcome: ExchangeOutcome, latency: Ms | undefined, stay: Ms) => void
+  readonly exchanged: (upstream: Upstream, outcome: ExchangeOutcome, latency: Ms | undefined, serviceTime: Ms) => void
   readonly over: (summary: RelaySummary) => void
 }
 
@@ -128,7 +128,7 @@
     private readonly _route: Route,
     private readonly _service: string,
     private readonly _answer: CallerAnswer,
-    private readonly _deps: RelayTaskOptions
+    private readonly _options: RelayTaskOptions
   ) {
     this._deadline = _call.arrivedAt + Math.min(_call.facts.patience ?? Infinity, _route.timeout)
     this._lastEventId = _call.facts.lastEventId
@@ -136,7 +136,7 @@
 
   /** Starts looking for an upstream. */
   start (): void {
-    const { clock, isQuarantined, isAllowed, takeRepeat } = this._deps
+    const { clock, isQuarantined, isAllowed, takeRepeat } = this._options
     this._cancelTimeout = clock.after(this._deadline + timeoutMargin - clock.now(), () => this._post({ kind: 'timeout' }))
     this._task = new Task(relayFlow(this._route, { takeRepeat, isAllowed, isQuarantined: () => isQuarantined(() => this.fingerprint) }), effect => this._perform(effect))
   }
@@ -164,7 +164,7 @@
    * other caller's request with it; instead it is logged and this caller's connection is cut.
    */
   private _endAfterFault (error: Error): void {
-    this._deps.log.warn('request', 'ended by a fault of the entry.', { request: this._call.facts.id, error: error.stack })
+    this._options.log.warn('request', 'ended by a fault of the entry.', { request: this._call.facts.id, error: error.stack })
     // A non-idempotent request keeps running at its upstream, as when its caller leaves.
     if (this._route.kind !== 'non-idempotent') this._exchange?.abandon()
     this._answer.break()
@@ -172,13 +172,13 @@
   }
 
   private _perform (effect: RelayEffect): void {
-    const { log } = this._deps
+    const { log } = this._options
     switch (effect.kind) {
       case 'place': return this._place(effect.avoid, effect.retryUpstream)
       case 'send': return this._send()
       case 'abandon': return this._abandon()
       case 'wait':
-        this._deps.clock.after(effect.delay, () => this._post({ kind: 'waited' }))
+        this._options.clock.after(effect.delay, () => this._post({ kind: 'waited' }))
         return
       case 'hold':
         this._keptAnswer = this._completeAnswer
@@ -186,7 +186,7 @@
       case 'deliver': return this._deliver()
       case 'finish': return this._end('delivered')
       case 'fail':
-        this._answer.fail({ kind: 'relay', failure: effect.failure, notRun: effect.notRun, retryAfter: this._retryAfter ?? this._deps.retryAfter(effect.failure) })
+        this._answer.fail({ kind: 'relay', failure: effect.failure, notRun: effect.notRun, retryAfter: this._retryAfter ?? this._options.retryAfter(effect.failure) })
         return this._end(effect.failure, effect.notRun)
       case 'break':
         log.info('request', 'broken off.', { request: this._call.facts.id, cause: effect.failure, lastEventId: this._lastEventId })
@@ -197,7 +197,7 @@
     }
   }
 
-  private get _remaining (): Ms { return this._deadline - this._deps.clock.now() }
+  private get _remaining (): Ms { return this._deadline - this._options.clock.now() }
 
   /**
    * Longest time in ms that the request may still wait for a place.
@@ -207,7 +207,7 @@
    * be resumed elsewhere only if its adapter happened to be loaded there.
    */
   private get _longestWait (): Ms {
-    const waited = this._deps.clock.now() - (this._dataAt ?? this._call.arrivedAt)
+    const waited = this._options.clock.now() - (this._dataAt ?? this._call.arrivedAt)
     const leavesAfter = Math.max(leaveFloor, leaveTargets * this._route.latencyTarget) - firstEventMargin
     return Math.max(0, Math.min(this._remaining * loadShare, leavesAfter - waited))
   }
@@ -216,7 +216,7 @@
     // A stream may be resumed many seconds after its request arrived. A version declared since then is in force at the
     // other upstream; with the version of its first placement the stream would start over on weights that were
     // replaced.
-    this._want = this._deps.want()
+    this._want = this._options.want()
     this._retryAfter = undefined
     const query: PlaceQuery = {
       service: this._service,
@@ -228,12 +228,12 @@
       cancelled: () => this._over,
       ...(again === undefined ? {} : { again })
     }
-    this._deps.place(query).then(placed => {
+    this._options.place(query).then(placed => {
       // On a busy host, a request and the close of its connection are read in two consecutive turns of the event loop.
       // A request sent between the two would run for a caller who left long before.
       setImmediate(() => setImmediate(() => this._placed(placed)))
     }, (error: Error) => {
-      this._deps.log.warn('request', 'placement failed.', { request: this._call.facts.id, error: error.message })
+      this._options.log.warn('request', 'placement failed.', { request: this._call.facts.id, error: error.message })
       this._post({ kind: 'unplaced', cause: 'no-upstream' })
     })
   }
@@ -272,7 +272,7 @@
 
   private _send (): void {
     const upstream = this._upstream!
-    const { clock, codec, log } = this._deps
+    const { clock, codec, log } = this._options
     const { facts, method, path, headers, body } = this._call
     const sentAt = clock.now()
     this._sends++
@@ -283,7 +283,7 @@
     if (this._want !== undefined) upstream.recordPrompt(facts.promptTokens)
     const close = (outcome: ExchangeOutcome, latency?: Ms): void => {
       release()
-      this._deps.exchanged(upstream, outcome, latency, clock.now() - sentAt)
+      this._options.exchanged(upstream, outcome, latency, clock.now() - sentAt)
     }
     this._closeExchange = release
     let firstByte: Ms | undefined
@@ -312,11 +312,11 @@
       gapSilence: this._repeatable ? Math.max(gapSilence, 3 * this._route.gapTarget) : undefined,
       lastEventId: this._lastEventId
     }, {
-      noticed: notice => this._deps.noticed(upstream, notice, clock.now() - sentAt),
+      noticed: notice => this._options.noticed(upstream, notice, clock.now() - sentAt),
       refused: refusal => {
         close('refused')
         log.info('request', 'refused by upstream.', { request: facts.id, upstream: upstream.id, refusal })
-        if (refusal === 'adapter-missing' && this._want !== undefined) this._deps.adapterBroken(upstream.id, this._want)
+        if (refusal === 'adapter-missing' && this._want !== undefined) this._options.adapterBroken(upstream.id, this._want)
         this._post({ kind: 'refused', refusal })
       },
       unreachable: cause => {
@@ -370,13 +370,13 @@
   /** Reports that this request may be the cause if its upstream turns out to have terminated. */
   private _reportSuspect (upstream: Upstream, broke: boolean): void {
     const answeredFor = this._upstreamDataSince === undefined ? 0 : this._dataAt! - this._upstreamDataSince
-    if (mayHaveCausedTermination(answeredFor)) this._deps.answerLost(upstream, this.fingerprint, broke)
+    if (mayHaveCausedTermination(answeredFor)) this._options.answerLost(upstream, this.fingerprint, broke)
   }
 
   private _recordStall (upstream: Upstream, cause: string, after: Ms): void {
     if (this._over || this._stall === 'placing') return
-    this._deps.log.info('request', 'stalled.', { request: this._call.facts.id, upstream: upstream.id, cause, lastEventId: this._lastEventId, after: Math.round(after) })
-    if (this._stall === 'none') this._deps.exchanged(upstream, 'lost', undefined, after)
+    this._options.log.info('request', 'stalled.', { request: this._call.facts.id, upstream: upstream.id, cause, lastEventId: this._lastEventId, after: Math.round(after) })
+    if (this._stall === 'none') this._options.exchanged(upstream, 'lost', undefined, after)
     this._stall = 'placing'
     this._reportSuspect(upstream, false)
     this._post({ kind: 'stalled' })
@@ -403,7 +403,7 @@
   }
 
   private _recordData (): void {
-    const now = this._deps.clock.now()
+    const now = this._options.clock.now()
     if (this._dataAt === undefined) this._firstData = now - this._call.arrivedAt
     else this._longestGap = Math.max(this._longestGap, now - this._dataAt)
     this._dataAt = now
@@ -440,6 +440,6 @@
     this._exchange?.ignore()
     this._closeExchange()
     if (end === 'delivered' && !this._answer.ended) this._answer.end()
-    this._deps.over({ end, sends: this._sends, firstData: this._firstData, longestGap: this._longestGap, notRun })
+    this._options.over({ end, sends: this._sends, firstData: this._firstData, longestGap: this._longestGap, notRun })
   }
 }
