--- a/packages/direct/src/lib/placer.ts
+++ b/packages/direct/src/lib/placer.ts
@@ -10,13 +10,13 @@
 import type { Admission } from './credit-queue.js'
 
 /** A request to be placed. */
-export interface PlaceQuery {
+export interface PlacementQuery {
   readonly service: string
   readonly want: RequestedAdapter | undefined
   readonly urgency: number
   readonly avoid: ReadonlySet<string>
   /** The upstream that refused because the adapter was not loaded, to be tried again. */
-  readonly again?: string
+  readonly retryUpstream?: string
   /** Longest wait for an adapter in ms. */
   readonly patience: Ms
   /** The request's prompt, and when its first event is due. */
@@ -26,7 +26,7 @@
 }
 
 /** What a request waited for before it could be sent. */
-export interface PlaceWaits {
+export interface PlacementWaits {
   /** Ms until its adapter was loaded: for an adapter slot and for the load. */
   readonly adapter: Ms
   /** Ms of the admission wait, until the engine could read its prompt. */
@@ -34,9 +34,9 @@
 }
 
 /** Where a request can go. */
-export type Placed =
+export type Placement =
   /** `refund` returns what was taken of the upstream's limit, when no request has reached the upstream. */
-  | { readonly kind: 'placed', readonly upstream: Upstream, readonly version: number | undefined, readonly waits?: PlaceWaits, readonly refund: () => void }
+  | { readonly kind: 'placed', readonly upstream: Upstream, readonly version: number | undefined, readonly waits?: PlacementWaits, readonly refund: () => void }
   /** `retryAfter`: ms until a place can be expected, where that is known. */
   | { readonly kind: 'unplaced', readonly cause: UnplacedCause, readonly retryAfter?: Ms }
 
@@ -64,13 +64,13 @@
 
 /** The result of requesting an adapter of one upstream. */
 type AdapterAttempt =
-  | Omit<Placed & { readonly kind: 'placed' }, 'refund'>
+  | Omit<Placement & { readonly kind: 'placed' }, 'refund'>
   /** `cause`: the holder's answer; undefined when the request has no time left or the upstream is leaving. */
   | { readonly kind: 'not-there', readonly cause?: UnavailableCause, readonly line: number }
 
 /** The same, for an upstream that may announce a limit. */
 type Attempt =
-  | Placed & { readonly kind: 'placed' }
+  | Placement & { readonly kind: 'placed' }
   | AdapterAttempt & { readonly kind: 'not-there' }
   | Admission & { readonly kind: 'over-limit' }
 
@@ -123,7 +123,7 @@
   /** Mean service time in ms of a service's requests at their upstreams; 0 when none has ended. */
   serviceTime (service: string): Ms { return this._serviceTimes.get(service)?.value ?? 0 }
 
-  async place (query: PlaceQuery): Promise<Placed> {
+  async place (query: PlacementQuery): Promise<Placement> {
     const startedAt = this._now
     const { healthy, ejected } = this._openUpstreams(query)
     const ranked = this._withRetryFirst(query, this._rankCapable(query, healthy.length > 0 ? healthy : ejected))
@@ -137,12 +137,12 @@
     return further.kind === 'placed' ? further : placed
   }
 
-  private _placeAmong (query: PlaceQuery, ranked: readonly Upstream[]): Promise<Placed> {
+  private _placeAmong (query: PlacementQuery, ranked: readonly Upstream[]): Promise<Placement> {
     return query.want === undefined ? this._placePlain(ranked) : this._placeAdapter(query, query.want, ranked.slice(0, maxTried))
   }
 
   /** Gives up without a place; `retryAfter` is when the first upstream in backoff can be tried again, if there is one. */
-  private _unplaced ({ service, avoid }: PlaceQuery): Placed {
+  private _unplaced ({ service, avoid }: PlacementQuery): Placement {
     const backoffs = this._options.members.serving(service).filter(({ id }) => !avoid.has(id)).map(({ notices }) => notices.backoffUntil - this._now)
     const backoff = Math.min(...backoffs.filter(left => left > 0))
     return backoff === Infinity
@@ -151,7 +151,7 @@
   }
 
   /** Takes the first candidate whose limit, if it announces one, leaves room. */
-  private async _placePlain (ranked: readonly Upstream[]): Promise<Placed> {
+  private async _placePlain (ranked: readonly Upstream[]): Promise<Placement> {
     let retryAfter: Ms = Infinity
     for (const upstream of ranked) {
       const admission = await this._options.admit(upstream)
@@ -167,7 +167,7 @@
   }
 
   /** Takes the first candidate that can provide the adapter, else queues at the one with the shortest queue. */
-  private async _placeAdapter (query: PlaceQuery, want: RequestedAdapter, candidates: readonly Upstream[]): Promise<Placed> {
+  private async _placeAdapter (query: PlacementQuery, want: RequestedAdapter, candidates: readonly Upstream[]): Promise<Placement> {
     const startedAt = this._now
     const placed = await this._placeAtOne(query, want, candidates)
     if (placed.kind === 'unplaced') return placed
@@ -175,14 +175,14 @@
     return { ...placed, waits: { adapter: this._now - startedAt - admissionWait, admissionWait } }
   }
 
-  private async _placeAtOne (query: PlaceQuery, want: RequestedAdapter, candidates: readonly Upstream[]): Promise<Placed> {
+  private async _placeAtOne (query: PlacementQuery, want: RequestedAdapter, candidates: readonly Upstream[]): Promise<Placement> {
     const until = this._now + query.patience
     const queues: UpstreamQueue[] = []
     const causes: Partial<Record<UnavailableCause, number>> = {}
     let retryAfter: Ms = Infinity
     for (const upstream of candidates) {
       if (queues.length >= maxQueues) break
-      const attempt = await this._awaitWithinLimit(upstream, query, { want, urgency: query.urgency, missing: query.again === upstream.id, mayWait: false, repeated: query.again === upstream.id }, until)
+      const attempt = await this._awaitWithinLimit(upstream, query, { want, urgency: query.urgency, missing: query.retryUpstream === upstream.id, mayWait: false, repeated: query.retryUpstream === upstream.id }, until)
       if (attempt.kind === 'placed') return attempt
       if (attempt.kind === 'over-limit') {
         retryAfter = Math.min(retryAfter, attempt.retryAfter)
@@ -205,7 +205,7 @@
   }
 
   /** Waits for an adapter at one upstream, if the upstream's limit leaves room for a request. */
-  private async _awaitWithinLimit (upstream: Upstream, query: PlaceQuery, loadQuery: Omit<EnsureQuery, 'patience' | 'prompt'>, until: Ms): Promise<Attempt> {
+  private async _awaitWithinLimit (upstream: Upstream, query: PlacementQuery, loadQuery: Omit<EnsureQuery, 'patience' | 'prompt'>, until: Ms): Promise<Attempt> {
     const admission = await this._options.admit(upstream)
     if (admission.kind === 'over-limit') return admission
     const { refund } = admission
@@ -219,7 +219,7 @@
    * Waits for an adapter at one upstream while it is being loaded there. Requesting it elsewhere meanwhile would load
    * it twice, and both loads would share the weight store's rate.
    */
-  private async _awaitAdapter (upstream: Upstream, query: PlaceQuery, loadQuery: Omit<EnsureQuery, 'patience' | 'prompt'>, until: Ms): Promise<AdapterAttempt> {
+  private async _awaitAdapter (upstream: Upstream, query: PlacementQuery, loadQuery: Omit<EnsureQuery, 'patience' | 'prompt'>, until: Ms): Promise<AdapterAttempt> {
     let { missing, repeated } = loadQuery
     const { request, tokens, dueAt } = query.prompt
     let admissionWait = 0
@@ -244,21 +244,21 @@
       upstream.leavesAt > this._now + leavingMargin
   }
 
-  private _withRetryFirst ({ again: id }: PlaceQuery, ranked: readonly Upstream[]): readonly Upstream[] {
-    const again = id === undefined ? undefined : this._options.members.get(id)
+  private _withRetryFirst ({ retryUpstream: id }: PlacementQuery, ranked: readonly Upstream[]): readonly Upstream[] {
+    const upstream = id === undefined ? undefined : this._options.members.get(id)
     // The upstream that lacked the adapter comes first: the adapter is being loaded there.
-    return again !== undefined && this._isOpen(again) ? [again, ...ranked] : ranked
+    return upstream !== undefined && this._isOpen(upstream) ? [upstream, ...ranked] : ranked
   }
 
   /** Upstreams that accept new requests now, split into healthy ones and those that this entry has ejected. */
-  private _openUpstreams ({ service, avoid }: PlaceQuery): { readonly healthy: readonly Upstream[], readonly ejected: readonly Upstream[] } {
+  private _openUpstreams ({ service, avoid }: PlacementQuery): { readonly healthy: readonly Upstream[], readonly ejected: readonly Upstream[] } {
     const now = this._now
     const open = this._options.members.serving(service)
       .filter(upstream => !avoid.has(upstream.id) && this._isOpen(upstream) && upstream.pool.hasRoom)
     return { healthy: open.filter(({ health }) => health.accepts(now)), ejected: open.filter(({ health }) => !health.accepts(now)) }
   }
 
-  private _rankCapable (query: PlaceQuery, open: readonly Upstream[]): readonly Upstream[] {
+  private _rankCapable (query: PlacementQuery, open: readonly Upstream[]): readonly Upstream[] {
     const withModel = query.want === undefined ? open : this._withModel(open, query.want.model)
     return this._rank(query, withModel.length > 0 ? withModel : open)
   }
@@ -268,7 +268,7 @@
     return upstreams.filter(({ record }) => record.models.some(loaded => loaded.model === model))
   }
 
-  private _rank (query: PlaceQuery, upstreams: readonly Upstream[]): readonly Upstream[] {
+  private _rank (query: PlacementQuery, upstreams: readonly Upstream[]): readonly Upstream[] {
     const { want } = query
     const entries = this._options.entries()
     const ranks = want?.adapter === undefined ? undefined : this._ranksFor(`${want.model}/${want.adapter}`, upstreams)
--- a/packages/direct/src/lib/relay-task.ts
+++ b/packages/direct/src/lib/relay-task.ts
@@ -6,7 +6,7 @@
 import type { CallCodec, CallMetadata, Route, UpstreamNotice } from '@hazelford/ports'
 import type { CallerAnswer } from './caller-answer.js'
 import { type AnswerHead, Exchange, type WholeAnswer } from './exchange.js'
-import type { Placed, PlaceQuery, PlaceWaits } from './placer.js'
+import type { Placement, PlacementQuery, PlacementWaits } from './placer.js'
 import { requestFingerprint } from './request-fingerprint.js'
 import type { Upstream } from './upstream.js'
 
@@ -49,7 +49,7 @@
   readonly codec: CallCodec
   /** The adapter that it needs, in the version declared now. */
   readonly want: () => RequestedAdapter | undefined
-  readonly place: (query: PlaceQuery) => Promise<Placed>
+  readonly place: (query: PlacementQuery) => Promise<Placement>
   readonly takeRepeat: () => boolean
   /** Whether its caller may still send it. */
   readonly isAllowed: () => boolean
@@ -97,7 +97,7 @@
   private _exchange: Exchange | undefined
   private _upstream: Upstream | undefined
   private _version: number | undefined
-  private _waits: PlaceWaits | undefined
+  private _waits: PlacementWaits | undefined
   /** Returns what the request took of its upstream's limit. */
   private _refund: () => void = () => {}
   /** Ms until a place can be expected, where that is known. */
@@ -212,13 +212,13 @@
     return Math.max(0, Math.min(this._remaining * loadShare, leavesAfter - waited))
   }
 
-  private _place (avoid: ReadonlySet<string>, again: string | undefined): void {
+  private _place (avoid: ReadonlySet<string>, retryUpstream: string | undefined): void {
     // A stream may be resumed many seconds after its request arrived. A version declared since then is in force at the
     // other upstream; with the version of its first placement the stream would start over on weights that were
     // replaced.
     this._want = this._options.want()
     this._retryAfter = undefined
-    const query: PlaceQuery = {
+    const query: PlacementQuery = {
       service: this._service,
       want: this._want,
       urgency: this._call.priority,
@@ -226,7 +226,7 @@
       patience: this._longestWait,
       prompt: { request: this._call.facts.id, tokens: this._call.facts.promptTokens, dueAt: this._call.arrivedAt + this._route.latencyTarget },
       cancelled: () => this._over,
-      ...(again === undefined ? {} : { again })
+      ...(retryUpstream === undefined ? {} : { retryUpstream })
     }
     this._options.place(query).then(placed => {
       // On a busy host, a request and the close of its connection are read in two consecutive turns of the event loop.
@@ -245,7 +245,7 @@
    * a caller who has left meanwhile, or for a stream that has gone on at its upstream. Unless that is reported, the
    * slot stays empty for seconds, and callers are refused although the engine is idle.
    */
-  private _placed (placed: Placed): void {
+  private _placed (placed: Placement): void {
     const sends = this._sends
     this._applyPlacement(placed)
     if (placed.kind !== 'placed' || this._sends > sends) return
@@ -253,7 +253,7 @@
     placed.refund()
   }
 
-  private _applyPlacement (placed: Placed): void {
+  private _applyPlacement (placed: Placement): void {
     if (this._remaining <= 0) return this._post({ kind: 'timeout' })
     const stall = this._stall
     this._stall = stall === 'placing' && placed.kind === 'unplaced' ? 'unplaced' : 'none'
--- a/packages/direct/src/lib/store-follower.ts
+++ b/packages/direct/src/lib/store-follower.ts
@@ -12,7 +12,7 @@
   readonly log: Log
   readonly role: () => StoreRole
   readonly peer: (node: string) => PeerAddress | undefined
-  readonly ask: (peer: PeerAddress, after: number, wait: Ms) => Promise<FeedAnswer>
+  readonly poll: (peer: PeerAddress, after: number, wait: Ms) => Promise<FeedAnswer>
   /** Longest age of a watcher's view with which its changes are used. */
   readonly bound: () => Ms
 }
@@ -58,9 +58,9 @@
   }
 
   private async _poll (peer: PeerAddress, after: number): Promise<FollowedChanges | undefined> {
-    const { ask, bound, clock } = this._options
+    const { poll, bound, clock } = this._options
     const asked = instantOf(clock)
-    const answer = await ask(peer, after, longestWait).catch((error: Error) => this._skip(peer, error.message))
+    const answer = await poll(peer, after, longestWait).catch((error: Error) => this._skip(peer, error.message))
     if (answer === undefined) return undefined
     if (answer.kind === 'not-kept') return this._skip(peer, 'changes not kept')
     // A watcher that is cut off from the store answers as before; only the age of its view shows it.
--- a/packages/direct/src/lib/store-view.ts
+++ b/packages/direct/src/lib/store-view.ts
@@ -163,7 +163,7 @@
       log,
       role: () => this._role,
       peer: node => this.peers.entry(node),
-      ask: (peer, after, wait) => client.changes(peer, after, wait),
+      poll: (peer, after, wait) => client.changes(peer, after, wait),
       bound: () => this._mirror.maxServedInterval
     })
     return new StoreMirror({
