--- a/packages/ports/src/index.ts
+++ b/packages/ports/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * What an entry needs of the platform it runs on. Types only; an adapter implements them.
+ * Interfaces between an entry and the platform it runs on. A platform adapter implements them.
  *
  * @packageDocumentation
  */
--- a/packages/ports/src/lib/call-codec.ts
+++ b/packages/ports/src/lib/call-codec.ts
@@ -1,60 +1,60 @@
 /**
- * How requests and answers are spoken on a platform.
+ * Encoding of requests and answers in the platform's headers.
  */
 import type { KeyDigest, Ms } from '@hazelford/core'
 import type { Result } from 'neverthrow'
 import type { UpstreamNotice } from './upstream-notice.js'
 
-/** What a request shows to say whose it is. */
+/** Credential that a request carries. */
 export type Credential =
   | { readonly kind: 'absent' }
-  /** More than one, or of a scheme that is not understood. */
+  /** More than one credential, or one of an unsupported scheme. */
   | { readonly kind: 'unreadable' }
   | { readonly kind: 'key', readonly digest: KeyDigest }
 
-/** What a request says of itself. */
+/** Metadata read from a request's headers. */
 export interface CallMetadata {
-  /** Unique to this attempt of the caller. */
+  /** Unique to this attempt: a caller that repeats a request sends a new id. */
   readonly id: string
-  /** How long the caller waits, from its arrival; undefined when it does not say. */
+  /** Longest time that the caller waits, counted from the request's arrival; undefined when the request declares none. */
   readonly patience: Ms | undefined
   readonly model: string | undefined
   readonly adapter: string | undefined
   readonly promptTokens: number
   readonly maxOutputTokens: number
-  /** Whether the request names its tokens at all. */
+  /** Whether the request declares a token count. */
   readonly declaresTokens: boolean
-  /** Parts of the prompt in order, the last one the request's own. */
+  /** Parts of the prompt from first to last; the last one belongs to this request alone. */
   readonly promptParts: readonly { readonly id: string, readonly tokens: number }[]
-  /** Last event that the caller has of a stream it takes up again. */
+  /** Id of the last event received by a caller that resumes a stream. */
   readonly lastEventId: number | undefined
 }
 
-/** What the system adds to a request on its way to an upstream. */
+/** What an entry adds to a request that it forwards to an upstream. */
 export interface ForwardContext {
   readonly instance: string
   readonly remaining: Ms
   readonly priority: number
   readonly adapterVersion?: number
   readonly lastEventId?: number
-  /** Whether keys say who may send requests; the one of a request is then not passed on. */
+  /** Whether callers authenticate by key; the request's key is then removed before it is forwarded. */
   readonly byKey: boolean
-  /** Whose request it is. */
+  /** Organisation that the request belongs to. */
   readonly organisation?: string
 }
 
-/** Flat list of names and values, as Node reads and writes raw headers. */
+/** Alternating names and values, as in Node's raw headers. */
 export type RawHeaders = readonly string[]
 
-/** What the head of an upstream's answer says. */
+/** Metadata read from the head of an upstream's answer. */
 export interface AnswerMetadata {
-  /** The upstream's own word that the request did not run. */
+  /** Whether the upstream states that it did not run the request. */
   readonly notRun: boolean
-  /** Whether the answer bears the upstream's seal. */
+  /** Whether the answer carries the upstream's seal. */
   readonly sealed: boolean
   /** Id of the request that the answer belongs to. */
   readonly requestId: string | undefined
-  /** Incarnation that answered, when it says so. */
+  /** Id of the incarnation that answered; undefined when the answer does not name it. */
   readonly instance: string | undefined
   readonly notice: UpstreamNotice
 }
@@ -64,11 +64,11 @@
   /**
    * Reads a request's headers.
    *
-   * @returns the facts, or a sentence for the caller on what is wrong
+   * @returns the metadata, or an error message for the caller
    */
   readonly readCall: (headers: RawHeaders) => Result<CallMetadata, string>
   readonly readCredential: (headers: RawHeaders) => Credential
-  /** Headers to send to the upstream, without those of one connection. */
+  /** Headers to send to the upstream, without connection-specific ones. */
   readonly forwardHeaders: (headers: RawHeaders, context: ForwardContext) => string[]
   readonly readAnswer: (status: number, headers: RawHeaders) => AnswerMetadata
 }
--- a/packages/ports/src/lib/engine-control.ts
+++ b/packages/ports/src/lib/engine-control.ts
@@ -1,42 +1,42 @@
 /**
- * Orders to engines and what they report.
+ * Load and unload orders to engines, and the engines' reports.
  */
 import type { ResultAsync } from 'neverthrow'
 import type { EngineAdapter, EngineModel } from './upstream-record.js'
 
-/** Names a model, or one of its adapters. */
+/** Identifies a model, or one of its adapters. */
 export interface LoadTarget {
   readonly model: string
   readonly adapter?: string
   readonly version?: number
 }
 
-/** Who orders, and on what view of the engine. */
+/** Sender of an order, and the state of the engine on which the sender based it. */
 export interface EngineOrderContext {
   readonly holder: string
   readonly fence: number
-  /** Orders that the engine must have accepted so far; others make it refuse this one. */
+  /** Number of orders that the engine must have accepted so far; it refuses the order on any other number. */
   readonly afterOrders: number
 }
 
 /**
- * What an engine says to an order.
+ * Answer of an engine to an order.
  *
- * - `accepted`: it is being carried out.
- * - `holds`: what was asked for is already so.
- * - `conflict`: another order runs, or the engine has accepted more orders than the sender knew.
- * - `fenced`: a newer holder has given orders.
- * - `refused`: the order can't be carried out as it is.
- * - `other-instance`: another incarnation answers at this address.
+ * - `accepted`: the engine is carrying out the order.
+ * - `holds`: the engine is already in the requested state.
+ * - `conflict`: another order is being carried out, or the engine has accepted orders that the sender does not know of.
+ * - `fenced`: the engine has received an order with a higher fencing number, from a newer holder.
+ * - `refused`: the engine can't carry out the order.
+ * - `other-instance`: another incarnation listens at this address.
  */
 export type EngineOrderOutcome = 'accepted' | 'holds' | 'conflict' | 'fenced' | 'refused' | 'other-instance'
 
-/** What an engine holds, some hundred ms ago. */
+/** What an engine has loaded and queued. A report may be some hundred ms old. */
 export interface EngineReport {
-  /** Start of the incarnation that reports, as in its record. */
+  /** Start of the reporting incarnation, as in its record in the store. */
   readonly startedAt?: number
   readonly models: readonly EngineModel[]
-  /** Adapters on their way from the weight store. */
+  /** Adapters that are being fetched from the weight store. */
   readonly coming: readonly (EngineAdapter & { readonly model: string })[]
   readonly busy: boolean
   readonly orders: number
@@ -44,7 +44,7 @@
   readonly waiting: number
 }
 
-/** No answer came: an order may have been accepted, or may be carried out later. */
+/** No answer was received. The engine may have accepted the order, or may still carry it out later. */
 export interface ControlFailure {
   readonly kind: 'no-answer'
   readonly message: string
--- a/packages/ports/src/lib/route-config.ts
+++ b/packages/ports/src/lib/route-config.ts
@@ -1,18 +1,18 @@
 /**
- * The operators' configuration as an entry uses it.
+ * The operators' configuration as entries use it.
  */
 import type { KeyDigest, Ms } from '@hazelford/core'
 
 /**
- * What may be repeated.
+ * Whether the requests of a route may be repeated.
  *
- * - `read-only`: may run more than once.
- * - `non-idempotent`: runs once at most.
- * - `stream`: an answer of events; runs once at most unless it is resumable.
+ * - `read-only`: a request may run more than once.
+ * - `non-idempotent`: a request runs at most once.
+ * - `stream`: the answer is a stream of events; a request runs at most once unless the route is resumable.
  */
 export type RouteKind = 'read-only' | 'non-idempotent' | 'stream'
 
-/** A service that gets a share of a route's requests. */
+/** A service that receives a share of a route's requests. */
 export interface RouteTarget {
   readonly service: string
   readonly weight: number
@@ -22,26 +22,26 @@
 export interface Route {
   readonly name: string
   readonly host: string
-  /** Begins and ends with a slash. */
+  /** Starts and ends with a slash. */
   readonly pathPrefix: string
   readonly kind: RouteKind
   readonly targets: readonly RouteTarget[]
-  /** Longest time a caller is kept waiting. */
+  /** Longest time that a caller waits for its answer. */
   readonly timeout: Ms
-  /** Time within which an answer, or the first event of a stream, is on time. */
+  /** Target time for an answer, or for the first event of a stream. */
   readonly latencyTarget: Ms
   /** 0 is the most urgent. */
   readonly priority: number
-  /** Upstreams that one request may be sent to. */
+  /** Most upstreams that one request is sent to. */
   readonly maxAttempts: number
   readonly resumable: boolean
-  /** Whether callers need no key for it. */
+  /** Whether callers may use the route without a key. */
   readonly public: boolean
-  /** Longest pause between events of an answer that is on time. */
+  /** Target for the longest pause between events of a stream. */
   readonly gapTarget: Ms
 }
 
-/** A model that a service's engines may hold. */
+/** A model that a service's engines may load. */
 export interface ModelSpec {
   readonly name: string
   readonly weightsMb: number
@@ -49,13 +49,13 @@
   readonly adapters: number
 }
 
-/** What the engines of a service can hold. */
+/** Capacity of each engine of a service. */
 export interface EngineSpec {
-  /** Requests in one batch. */
+  /** Batch slots: requests that an engine runs at once. */
   readonly slots: number
   readonly weightsMb: number
   readonly adapterSlots: number
-  /** Loads a second that the weight store allows over all engines. */
+  /** Loads per second that the weight store allows, summed over all engines. */
   readonly loadsPerSecond: number
   readonly models: readonly ModelSpec[]
 }
@@ -64,12 +64,12 @@
 export interface ServiceSpec {
   readonly name: string
   readonly healthPath: string
-  /** Connections that one of its upstreams accepts from all hosts. */
+  /** Connections that one upstream of the service accepts, summed over all hosts. */
   readonly maxConnections: number
   readonly engine?: EngineSpec
 }
 
-/** What a caller may send, and how long it may take. */
+/** Limits on the size of a caller's request and on the time it takes to send it. */
 export interface CallerLimits {
   readonly maxHeaderBytes: number
   readonly maxBodyBytes: number
@@ -77,34 +77,34 @@
   readonly idleTimeout: Ms
 }
 
-/** What a usage limit counts. */
+/** Unit in which a usage limit counts. */
 export type UsageUnit = 'requests' | 'tokens'
 
-/** How much an organisation may ask for, over all entries. */
+/** Usage limit of an organisation, summed over all entries. */
 export interface UsageLimit {
   readonly unit: UsageUnit
-  /** Units a second. */
+  /** Units per second. */
   readonly rate: number
-  /** Units that may be used at once on top. */
+  /** Units that may be used at once in addition. */
   readonly burst: number
-  /** Tokens that a request counts for which does not name its own. */
+  /** Tokens counted for a request that declares no token count. */
   readonly plainTokens: number
 }
 
-/** Whose callers may send requests. */
+/** An organisation whose callers may send requests. */
 export interface Organisation {
   readonly name: string
   readonly keys: readonly KeyDigest[]
-  /** Goes before the priority of a route; undefined leaves it to the route. */
+  /** Overrides the priority of a route; undefined leaves the route's. */
   readonly priority?: number
-  /** Undefined when nothing limits it. */
+  /** Undefined for unlimited usage. */
   readonly limit?: UsageLimit
 }
 
 /** Who may send requests. */
 export type Access =
   | { readonly kind: 'anyone' }
-  /** Who has the key of an organisation, and anyone on public routes. */
+  /** Callers with the key of an organisation, and any caller on public routes. */
   | { readonly kind: 'by-key', readonly organisations: readonly Organisation[] }
 
 /** One version of the configuration. */
--- a/packages/ports/src/lib/store.ts
+++ b/packages/ports/src/lib/store.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's key-value store: transactions under conditions, leases and watches.
+ * The platform's key-value store: conditional transactions, leases and watches.
  */
 import type { Ms } from '@hazelford/core'
 import type { ResultAsync } from 'neverthrow'
@@ -17,26 +17,26 @@
   | { readonly kind: 'put', readonly item: StoreItem }
   | { readonly kind: 'removed', readonly key: string, readonly revision: number }
 
-/** Items under a prefix, and the revision from which a watch goes on. */
+/** Items under a prefix, and the revision from which a watch continues. */
 export interface StoreListing {
   readonly items: readonly StoreItem[]
   readonly revision: number
 }
 
-/** Changes after a revision, and the revision from which the next watch goes on. */
+/** Changes after a revision, and the revision from which the next watch continues. */
 export interface StoreChanges {
   readonly events: readonly StoreEvent[]
   readonly revision: number
 }
 
-/** A write; a lease of 0 means that the key stays until it is removed. */
+/** A write. With lease 0 the key stays until it is removed. */
 export interface StorePut {
   readonly key: string
   readonly value: string
   readonly lease: number
 }
 
-/** A change that takes effect as a whole, if every condition holds. */
+/** Writes and removals that are applied atomically, if every condition holds. */
 export interface StoreTransaction {
   /** Keys with the revision they must have; 0 means that the key must not exist. */
   readonly conditions: readonly { readonly key: string, readonly revision: number }[]
@@ -44,19 +44,19 @@
   readonly removals: readonly string[]
 }
 
-/** Outcome of a transaction whose reply came. */
+/** Outcome of a transaction to which the store replied. */
 export type TransactionOutcome =
   | { readonly kind: 'stored', readonly revision: number }
   | { readonly kind: 'conflict', readonly items: readonly StoreItem[] }
   | { readonly kind: 'no-lease' }
 
 /**
- * Why a call gave no answer.
+ * Why a call failed.
  *
- * - `not-applied`: the store refused the call; nothing was done.
- * - `unknown`: no reply came; the call may have taken effect or may yet.
- * - `history-lost`: a watch asked for changes that the store no longer holds.
- * - `no-lease`: the lease has ended.
+ * - `not-applied`: the store refused the call; nothing was changed.
+ * - `unknown`: no reply was received; the call may have taken effect, or may still do so.
+ * - `history-lost`: a watch asked for changes that the store no longer keeps.
+ * - `no-lease`: the lease has expired or was ended.
  */
 export interface StoreFailure {
   readonly kind: 'not-applied' | 'unknown' | 'history-lost' | 'no-lease'
@@ -69,7 +69,7 @@
   readonly ttl: Ms
 }
 
-/** What the rest of the system needs of the store. */
+/** Operations of the store. */
 export interface Store {
   /** Reads all items under a prefix, linearizably. */
   readonly list: (prefix: string) => ResultAsync<StoreListing, StoreFailure>
--- a/packages/ports/src/lib/upstream-notice.ts
+++ b/packages/ports/src/lib/upstream-notice.ts
@@ -1,14 +1,14 @@
 /**
- * What an upstream says of itself in its answers.
+ * Notices that an upstream attaches to its answers about its own state.
  */
 import type { Ms } from '@hazelford/core'
 
-/** What one answer says of the upstream that gave it. */
+/** Notice in one answer, about the upstream that sent the answer. */
 export interface UpstreamNotice {
-  /** Requests a second that the upstream takes from all entries together; undefined when it names no limit. */
+  /** Requests per second that the upstream accepts, summed over all entries; undefined when the answer states no limit. */
   readonly rateLimit: number | undefined
-  /** Whether it is about to end and takes no new requests. */
+  /** Whether the upstream is about to terminate and accepts no new requests. */
   readonly leaving: boolean
-  /** Ms for which it wants nothing more from this entry; undefined when it does not ask for that. */
+  /** Ms for which the upstream asks this entry to back off; undefined when it does not ask for that. */
   readonly backoff: Ms | undefined
 }
--- a/packages/ports/src/lib/upstream-record.ts
+++ b/packages/ports/src/lib/upstream-record.ts
@@ -1,60 +1,60 @@
 /**
- * What an upstream says of itself in the store.
+ * Record that an upstream keeps of itself in the store.
  */
 import type { Ms } from '@hazelford/core'
 
-/** An adapter in an engine, with its version. */
+/** An adapter that an engine has loaded or is loading, with its version. */
 export interface EngineAdapter {
   readonly adapter: string
   readonly version: number
 }
 
-/** A model in an engine, with the adapters loaded on it. */
+/** A model that an engine has loaded, with the adapters loaded for it. */
 export interface EngineModel {
   readonly model: string
   readonly version: number
   readonly adapters: readonly EngineAdapter[]
 }
 
-/** One incarnation of an upstream: a restart has a new id, or a later start under the same one. */
+/** One incarnation of an upstream. A restarted upstream has a new id, or a later start under the same id. */
 export interface UpstreamRecord {
   readonly id: string
-  /** When it started, in Unix ms of its own clock; undefined where upstreams don't say. */
+  /** Start in Unix ms of the upstream's own clock; undefined for an upstream that does not report it. */
   readonly startedAt?: number
   readonly service: string
   readonly host: string
   readonly port: number
   readonly zone: string
-  /** Requests that it runs at once. */
+  /** Batch slots: requests that the upstream runs at once. */
   readonly slots: number
   readonly state: 'ready' | 'draining'
-  /** Time until it is gone, when it was told to leave at short notice. */
+  /** Time until the upstream terminates, when it must leave at short notice. */
   readonly leavesIn?: Ms
   readonly models: readonly EngineModel[]
-  /** Orders accepted since its start. */
+  /** Number of load and unload orders accepted since the start. */
   readonly orders: number
 }
 
-/** A version of an adapter that the operators declared. */
+/** A version of an adapter, as declared by the operators. */
 export interface AdapterVersion {
   readonly model: string
   readonly adapter: string
   readonly version: number
 }
 
-/** How a word on an upstream stands to the incarnation that is known. */
+/** Whether a report describes the same incarnation as the known one, a later or an earlier one. */
 export type IncarnationComparison = 'same' | 'later' | 'earlier'
 
 /**
- * Compares incarnations of one upstream.
+ * Compares incarnations of one upstream by their start times.
  *
- * A word without a start is earlier than any with one: its writer is of a version that didn't say, and once a start is
- * known nothing shows that the word is not about an incarnation that has ended.
+ * A report without a start is earlier than any report with one: it was written by a version that does not report starts, and
+ * it may describe an incarnation that has terminated since.
  *
- * @param heard - start that a word names
- * @param known - start of the incarnation that is known
+ * @param reported - start named by the report
+ * @param known - start of the known incarnation
  */
-export function compareStartTimes (heard: number | undefined, known: number | undefined): IncarnationComparison {
-  if (heard === known) return 'same'
-  return (heard ?? -Infinity) > (known ?? -Infinity) ? 'later' : 'earlier'
+export function compareStartTimes (reported: number | undefined, known: number | undefined): IncarnationComparison {
+  if (reported === known) return 'same'
+  return (reported ?? -Infinity) > (known ?? -Infinity) ? 'later' : 'earlier'
 }
