--- a/packages/sidecar/src/index.ts
+++ b/packages/sidecar/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The authority for one upstream: slots, queue, batches, claims and fencing.
+ * The sidecar of one upstream: adapter slots, queue, batches, claims on idempotency keys and fencing.
  *
  * @packageDocumentation
  */
--- a/packages/sidecar/src/lib/channel-server.ts
+++ b/packages/sidecar/src/lib/channel-server.ts
@@ -1,11 +1,11 @@
 /**
- * The sidecar's end of the channels: accepts connections from entries.
+ * Server side of the channels: accepts connections from entries.
  */
 import { type Clock, type HybridClock, type Ms } from '@hazelford/core'
 import { ChannelService, channelOptions, type Chunk, type EntryBatch, type EntryFrame, type SidecarBatch, type SidecarFrame, SidecarOutbox } from '@hazelford/wire'
 import { Server, ServerCredentials, type ServerDuplexStream } from '@grpc/grpc-js'
 
-/** Hears what comes over one connection. */
+/** Receives the frames of one connection and is notified when it closes. */
 export interface ConnectionHandler {
   readonly frame: (frame: EntryFrame) => void
   readonly closed: () => void
@@ -18,16 +18,16 @@
   readonly close: () => void
 }
 
-/** Listens for entries. */
+/** The server that entries connect to. */
 export interface ChannelServer {
   readonly port: number
-  /** Cuts all connections and stops listening. */
+  /** Breaks all connections and stops listening. */
   readonly close: () => void
-  /** Cuts all connections but goes on listening; for tests of reconnects. */
+  /** Breaks all connections but keeps listening; for tests of reconnects. */
   readonly cutAll: () => void
 }
 
-/** What the server works with. */
+/** Address, clocks and connection handler of the server. */
 export interface ChannelServerOptions {
   readonly host: string
   readonly port: number
@@ -54,10 +54,10 @@
 }
 
 /**
- * Starts to listen.
+ * Starts the channel server.
  *
- * @param options - address, clock and what to do with a connection
- * @returns once the port is bound
+ * @param options - address, clocks and the handler of new connections
+ * @returns the server, once its port is bound
  */
 export async function startChannelServer (options: ChannelServerOptions): Promise<ChannelServer> {
   const server = new Server(channelOptions)
@@ -66,10 +66,10 @@
     open: (stream: Stream) => {
       streams.add(stream)
       const handler = options.accept(openConnection(stream, options))
-      let over = false
+      let isClosed = false
       const end = (): void => {
-        if (over) return
-        over = true
+        if (isClosed) return
+        isClosed = true
         streams.delete(stream)
         handler.closed()
         stream.end()
@@ -105,5 +105,5 @@
   }
 }
 
-/** Ms between two heartbeats unless the options say otherwise. */
+/** Interval between two heartbeats in ms, unless the options set another. */
 export const defaultHeartbeatMs: Ms = 250
