--- a/packages/sidecar/src/lib/claims.ts
+++ b/packages/sidecar/src/lib/claims.ts
@@ -1,41 +1,41 @@
 /**
- * Claims on idempotency keys: each keyed call runs once, whichever sidecar gets it.
+ * Claims on idempotency keys: a call with an idempotency key runs once, whichever sidecar receives it.
  */
 import { createHash } from 'node:crypto'
 import { type Clock, type EventRing, type Log, newId, type Ms, sleep } from '@hazelford/core'
 import type { AnswerHeader } from '@hazelford/engine'
 import { type KvClient, type KvRead, casWithReadBack } from '@hazelford/consul'
 
-/** An answer kept for repeats. */
+/** An answer stored for repeats of its call. */
 export interface KeptAnswer {
   readonly status: number
   readonly headers: readonly AnswerHeader[]
-  /** Base64; undefined when the body was too large to keep. */
+  /** Base64; undefined when the body was too large to store. */
   readonly body: string | undefined
 }
 
-/** What stands in the key-value service for a key. */
+/** Record in the key-value service for one idempotency key. */
 interface ClaimRecord {
-  /** Names the attempt that holds the key. */
+  /** Identifies the attempt that holds the key. */
   readonly token: string
   readonly sidecar: string
-  /** The holder's incarnation: a restarted sidecar can't know what it had begun. */
+  /** Incarnation of the sidecar that holds the key: after a restart it can't know which calls it had begun. */
   readonly incarnation: string
-  /** Digest of method, path and body, so that a key can't be used for another call. */
+  /** Digest of method, path and body, so that a key can't be reused for a different call. */
   readonly digest: string
   readonly at: Ms
   readonly answer?: KeptAnswer
 }
 
-/** What a claim came to. */
+/** Outcome of a claim. */
 export type ClaimOutcome =
-  /** The key is ours: the call may run, once. */
+  /** This sidecar holds the key: the call may run, once. */
   | { readonly kind: 'taken', readonly claim: Claim }
   | { readonly kind: 'answered', readonly answer: KeptAnswer }
-  /** The first attempt is under way here; wait for it. */
+  /** The first attempt is running at this sidecar; `answer` resolves when it ends. */
   | { readonly kind: 'running-here', readonly answer: Promise<KeptAnswer | undefined> }
   | { readonly kind: 'running-elsewhere', readonly sidecar: string }
-  /** The first attempt began and its end is not known. */
+  /** The first attempt began and its outcome is unknown. */
   | { readonly kind: 'outcome-unknown' }
   | { readonly kind: 'other-call' }
   | { readonly kind: 'unavailable', readonly message: string }
@@ -46,7 +46,7 @@
   readonly token: string
 }
 
-/** What claims work with. */
+/** Dependencies of {@link Claims}. */
 export interface ClaimsOptions {
   readonly kv: KvClient
   readonly clock: Clock
@@ -55,11 +55,11 @@
   readonly service: string
   readonly sidecar: string
   readonly incarnation: string
-  /** Whether the sidecar has ended; nothing is recorded or removed from then on. */
+  /** Whether the sidecar has stopped; from then on no record is written or removed. */
   readonly stopped: () => boolean
 }
 
-interface Held {
+interface LocalClaim {
   readonly token: string
   readonly digest: string
   readonly answered: Promise<KeptAnswer | undefined>
@@ -67,18 +67,18 @@
 }
 
 const keepInMemoryMs: Ms = 10 * 60_000
-const settleRetryMs: Ms = 500
-const settleWaitMs: Ms = 300
-const absencesToTrust = 4
+const updateRetryMs: Ms = 500
+const recordWaitMs: Ms = 300
+const absencesToConfirm = 4
 const keptBodyLimit = 64 * 1024
-/** How long a claim of another live sidecar counts as running before its outcome counts as unknown. */
+/** How long a claim of another sidecar counts as running before its outcome counts as unknown. */
 const runningElsewhereMs: Ms = 60_000
 
 /**
- * Keeps an answer for repeats.
+ * Builds the answer to store for repeats; a body over 64 KiB is left out.
  *
  * @param status - HTTP status
- * @param headers - headers as passed on
+ * @param headers - headers as forwarded to the caller
  * @param chunks - the body
  */
 export function keepAnswer (status: number, headers: readonly AnswerHeader[], chunks: readonly Uint8Array[]): KeptAnswer {
@@ -86,110 +86,110 @@
   return { status, headers, body: body.length > keptBodyLimit ? undefined : body.toString('base64') }
 }
 
-function createHeld (token: string, digest: string): Held {
-  let settle: Held['settle'] = () => {}
+function createLocalClaim (token: string, digest: string): LocalClaim {
+  let settle: LocalClaim['settle'] = () => {}
   const answered = new Promise<KeptAnswer | undefined>(resolve => { settle = resolve })
   return { token, digest, answered, settle }
 }
 
-/** The claims of one sidecar. */
+/** Claims, records and releases idempotency keys for one sidecar. */
 export class Claims {
-  private readonly _held = new Map<string, Held>()
+  private readonly _localClaims = new Map<string, LocalClaim>()
 
   constructor (private readonly _options: ClaimsOptions) {}
 
   /**
-   * Claims a key before the call is passed on.
+   * Claims a key before the call is forwarded to the upstream.
    *
-   * The record is created only if absent, so of all sidecars that get the same key,
-   * also on both sides of a partition or after a pause, exactly one may run the call.
+   * The record is created only if absent. Of all sidecars that receive the same key, even on
+   * both sides of a network partition or after a pause, exactly one may run the call.
    *
    * @param key - the caller's Idempotency-Key
-   * @param digest - of the call
+   * @param digest - digest of the call
    */
   async claim (key: string, digest: string): Promise<ClaimOutcome> {
-    const known = this._held.get(key)
+    const known = this._localClaims.get(key)
     if (known !== undefined) {
       if (known.digest !== digest) return { kind: 'other-call' }
       return { kind: 'running-here', answer: known.answered }
     }
-    const held = createHeld(newId('claim'), digest)
-    this._held.set(key, held)
-    const outcome = await this._create(key, held)
-    if (outcome.kind !== 'taken') this._let(key, held)
+    const localClaim = createLocalClaim(newId('claim'), digest)
+    this._localClaims.set(key, localClaim)
+    const outcome = await this._create(key, localClaim)
+    if (outcome.kind !== 'taken') this._forget(key, localClaim)
     return outcome
   }
 
-  private async _create (key: string, held: Held): Promise<ClaimOutcome> {
+  private async _create (key: string, localClaim: LocalClaim): Promise<ClaimOutcome> {
     const { kv, clock, events, sidecar, incarnation } = this._options
-    const record: ClaimRecord = { token: held.token, sidecar, incarnation, digest: held.digest, at: clock.wall() }
+    const record: ClaimRecord = { token: localClaim.token, sidecar, incarnation, digest: localClaim.digest, at: clock.wall() }
     const path = this._path(key)
-    const written = await casWithReadBack(kv, path, 0, JSON.stringify(record), value => this._tokenOf(value) === held.token)
+    const written = await casWithReadBack(kv, path, 0, JSON.stringify(record), value => this._tokenOf(value) === localClaim.token)
     switch (written.kind) {
       case 'stored':
         events.add('claim', { note: `key taken for ${this._options.service}` })
-        return { kind: 'taken', claim: { key, token: held.token } }
+        return { kind: 'taken', claim: { key, token: localClaim.token } }
       case 'conflict':
-        return this._readOther(written.current, held.digest)
+        return this._evaluateExisting(written.current, localClaim.digest)
       case 'not-applied':
         return { kind: 'unavailable', message: written.message }
       case 'unknown':
-        // The record may stand although the call will not run. Left alone it would tell
-        // every repeat that a first attempt is under way, and the booking would be lost.
-        this._clean(path, held.token)
+        // The record may exist although the call will not run. If it stayed, every repeat would
+        // be answered that a first attempt is running, and the call would never run.
+        this._removeRecord(path, localClaim.token)
         return { kind: 'unavailable', message: written.message }
     }
   }
 
-  private _readOther (current: KvRead, digest: string): ClaimOutcome {
+  private _evaluateExisting (current: KvRead, digest: string): ClaimOutcome {
     if (current.entry === undefined) return { kind: 'unavailable', message: 'The claim could not be read.' }
     const record = JSON.parse(current.entry.value) as ClaimRecord
     const { sidecar, incarnation, clock } = this._options
     if (record.digest !== digest) return { kind: 'other-call' }
     if (record.answer !== undefined) return { kind: 'answered', answer: record.answer }
-    const ownPast = record.sidecar === sidecar && record.incarnation !== incarnation
-    const old = clock.wall() - record.at > runningElsewhereMs
-    return ownPast || old ? { kind: 'outcome-unknown' } : { kind: 'running-elsewhere', sidecar: record.sidecar }
+    const isEarlierIncarnation = record.sidecar === sidecar && record.incarnation !== incarnation
+    const isStale = clock.wall() - record.at > runningElsewhereMs
+    return isEarlierIncarnation || isStale ? { kind: 'outcome-unknown' } : { kind: 'running-elsewhere', sidecar: record.sidecar }
   }
 
   /**
-   * Records the answer, so that a repeat through any sidecar gets it.
+   * Records the answer, so that a repeat through any sidecar receives it.
    *
    * @param claim - from {@link Claims.claim}
-   * @param answer - the first attempt's
-   * @returns when it is recorded, or after a short wait when the service is down
+   * @param answer - answer of the first attempt
+   * @returns resolves when the answer is recorded, or after 300 ms when the key-value service does not answer
    */
   async settle (claim: Claim, answer: KeptAnswer): Promise<void> {
     const { clock } = this._options
-    const held = this._held.get(claim.key)
-    held?.settle(answer)
-    clock.after(keepInMemoryMs, () => { if (held !== undefined) this._let(claim.key, held) })
-    const recorded = this._update(this._path(claim.key), claim.token, answer)
-    const waited = new Promise<void>(resolve => { clock.after(settleWaitMs, resolve) })
+    const localClaim = this._localClaims.get(claim.key)
+    localClaim?.settle(answer)
+    clock.after(keepInMemoryMs, () => { if (localClaim !== undefined) this._forget(claim.key, localClaim) })
+    const recorded = this._addAnswer(this._path(claim.key), claim.token, answer)
+    const waited = new Promise<void>(resolve => { clock.after(recordWaitMs, resolve) })
     await Promise.race([recorded, waited])
   }
 
   /**
-   * Notes that a call began and that nobody knows how it ended. The record stays, so
-   * that no repeat runs it again.
+   * Marks a call that began and whose outcome is unknown. The record stays, so that no
+   * repeat runs the call again.
    */
   markOutcomeUnknown (claim: Claim): void {
-    const held = this._held.get(claim.key)
-    if (held === undefined) return
-    held.settle(undefined)
-    this._options.clock.after(keepInMemoryMs, () => this._let(claim.key, held))
+    const localClaim = this._localClaims.get(claim.key)
+    if (localClaim === undefined) return
+    localClaim.settle(undefined)
+    this._options.clock.after(keepInMemoryMs, () => this._forget(claim.key, localClaim))
   }
 
-  /** Gives a key back: the call did not run, and a repeat may. */
+  /** Releases a key: the call did not run, so a repeat may run it. */
   release (claim: Claim): void {
-    const held = this._held.get(claim.key)
-    if (held !== undefined) this._let(claim.key, held)
-    this._clean(this._path(claim.key), claim.token)
+    const localClaim = this._localClaims.get(claim.key)
+    if (localClaim !== undefined) this._forget(claim.key, localClaim)
+    this._removeRecord(this._path(claim.key), claim.token)
   }
 
-  private _let (key: string, held: Held): void {
-    held.settle(undefined)
-    if (this._held.get(key) === held) this._held.delete(key)
+  private _forget (key: string, localClaim: LocalClaim): void {
+    localClaim.settle(undefined)
+    if (this._localClaims.get(key) === localClaim) this._localClaims.delete(key)
   }
 
   private _path (key: string): string {
@@ -199,10 +199,10 @@
 
   private _tokenOf (value: string): string { return (JSON.parse(value) as ClaimRecord).token }
 
-  /** Adds the answer to our record, for as long as it takes. */
-  private async _update (path: string, token: string, answer: KeptAnswer): Promise<void> {
+  /** Adds the answer to this sidecar's record and retries until that succeeds. */
+  private async _addAnswer (path: string, token: string, answer: KeptAnswer): Promise<void> {
     const { kv } = this._options
-    await this._untilDone(async () => {
+    await this._retryUntilDone(async () => {
       const read = await kv.read(path)
       if (read.isErr()) return false
       const { entry } = read.value
@@ -213,26 +213,27 @@
     })
   }
 
-  /** Removes our record of a call that did not run. */
-  private _clean (path: string, token: string): void {
+  /** Removes this sidecar's record of a call that did not run. */
+  private _removeRecord (path: string, token: string): void {
     const { kv, log } = this._options
     let absences = 0
-    this._untilDone(async () => {
+    this._retryUntilDone(async () => {
       const read = await kv.read(path)
       if (read.isErr()) return false
       const { entry } = read.value
-      // The lost write may still be on its way. Only an absence that lasts counts.
-      if (entry === undefined) return ++absences >= absencesToTrust
+      // A write whose reply was lost may still take effect. The record counts as absent only
+      // after four reads in which it was missing.
+      if (entry === undefined) return ++absences >= absencesToConfirm
       if (this._tokenOf(entry.value) !== token) return true
-      // The removal names the index it read: one that arrives late, after another
-      // sidecar claimed the key, must not remove that claim.
+      // The removal is conditional on the index that was read: a removal that takes effect
+      // late, after another sidecar claimed the key, must not remove that claim.
       await kv.remove(path, entry.modifyIndex)
       return false
-    }).catch((error: Error) => log.warn('claims', 'cleaning failed.', { error: error.message }))
+    }).catch((error: Error) => log.warn('claims', 'claim record was not removed.', { error: error.message }))
   }
 
-  private async _untilDone (step: () => Promise<boolean>): Promise<void> {
+  private async _retryUntilDone (step: () => Promise<boolean>): Promise<void> {
     const { clock, stopped } = this._options
-    while (!stopped() && !await step()) await sleep(clock, settleRetryMs)
+    while (!stopped() && !await step()) await sleep(clock, updateRetryMs)
   }
 }
