--- a/packages/sidecar/src/lib/heartbeat-reporter.ts
+++ b/packages/sidecar/src/lib/heartbeat-reporter.ts
@@ -1,5 +1,5 @@
 /**
- * Heartbeats of a sidecar to its entries.
+ * Sends the heartbeats of a sidecar to its entries.
  */
 import type { Clock, Ms } from '@hazelford/core'
 import type { InterruptedRequest } from './interrupted-requests.js'
@@ -7,27 +7,27 @@
 import type { SidecarHeartbeat } from '@hazelford/wire'
 import type { Connection } from './channel-server.js'
 
-/** What the reporter tells of. */
+/** Source of the values in a heartbeat. */
 export interface HeartbeatSource {
   readonly state: () => string
   readonly revision: () => number
   readonly report: () => PlanReport
-  /** Requests under which the upstream ended. */
+  /** Requests that the upstream was running when it terminated. */
   readonly ended: () => readonly InterruptedRequest[]
   readonly connections: () => Iterable<Connection>
 }
 
-const minReportGapMs: Ms = 20
+const minHeartbeatGapMs: Ms = 20
 
-/** Tells every connected entry of load and slots. */
+/** Sends load and adapter slots to every connected entry. */
 export class HeartbeatReporter {
-  /** Adapters that each connection was last told of. */
-  private readonly _toldAdapters = new Map<Connection, string>()
-  private _due = false
+  /** Adapters and their states as last sent over each connection. */
+  private readonly _lastSentAdapters = new Map<Connection, string>()
+  private _isScheduled = false
 
   constructor (private readonly _clock: Clock, private readonly _source: HeartbeatSource) {}
 
-  /** Everything that a heartbeat can tell. */
+  /** Builds a heartbeat with all its fields. */
   heartbeat (): SidecarHeartbeat {
     const { running, places, queued, slots, adapters, loadMs, loadsWaiting, serviceMs } = this._source.report()
     return {
@@ -51,25 +51,25 @@
     const full = this.heartbeat()
     const adapters = full.adapters.map(({ adapter, state }) => `${adapter} ${state}`).join()
     const short: SidecarHeartbeat = { ...full, adapters: [], sameAdapters: true }
-    // Most heartbeats tell of the same adapters as the one before. Naming them each time
-    // made nine tenths of an entry's control traffic.
+    // Most heartbeats report the same adapters as the one before. Sending the names each time
+    // made up nine tenths of an entry's control traffic.
     for (const connection of this._source.connections()) {
-      const value = this._toldAdapters.get(connection) === adapters ? short : full
-      this._toldAdapters.set(connection, adapters)
+      const value = this._lastSentAdapters.get(connection) === adapters ? short : full
+      this._lastSentAdapters.set(connection, adapters)
       connection.send({ body: { $case: 'heartbeat', value } })
     }
   }
 
-  /** Sends one soon, together with whatever else changes until then. */
+  /** Sends a heartbeat within 20 ms, which includes all changes until then. */
   sendSoon (): void {
-    if (this._due) return
-    this._due = true
-    this._clock.after(minReportGapMs, () => {
-      this._due = false
+    if (this._isScheduled) return
+    this._isScheduled = true
+    this._clock.after(minHeartbeatGapMs, () => {
+      this._isScheduled = false
       this.send()
     })
   }
 
-  /** Forgets a connection that is gone. */
-  forget (connection: Connection): void { this._toldAdapters.delete(connection) }
+  /** Removes the state of a closed connection. */
+  forget (connection: Connection): void { this._lastSentAdapters.delete(connection) }
 }
--- a/packages/sidecar/src/lib/interrupted-requests.ts
+++ b/packages/sidecar/src/lib/interrupted-requests.ts
@@ -1,47 +1,47 @@
 /**
- * Requests under which the upstream of a sidecar ended.
+ * Requests that the upstream of a sidecar was running when it terminated.
  */
 import type { Ms } from '@hazelford/core'
 
-/** A request that was running when the upstream ended. */
+/** A request that the upstream was running when it terminated. */
 export interface InterruptedRequest {
-  /** Its digest. */
+  /** Digest of the call. */
   readonly request: string
-  /** Ms since the end. */
+  /** Ms since the termination. */
   readonly age: Ms
 }
 
-/** How long an end is told of; entries hold a request back for as long. */
-const toldFor: Ms = 600_000
-/** Most requests told of. Those that had no answer yet when an engine ended were one to three at each of ten ends. */
-const toldAtMost = 32
+/** How long a request is reported after the termination; entries quarantine a request for as long. */
+const reportDuration: Ms = 600_000
+/** Most requests reported. One to three requests had no answer yet at each of ten observed engine terminations. */
+const maxReported = 32
 
 /**
- * Remembers which requests were running when the upstream ended.
+ * Records which requests the upstream was running when it terminated.
  *
- * Told with each heartbeat, so that an entry that starts later, or missed one, hears of them all the same.
+ * The list is sent with each heartbeat, so that an entry that starts later or misses a heartbeat still receives it.
  */
 export class InterruptedRequests {
-  private readonly _ends = new Map<string, Ms>()
+  private readonly _interruptedAt = new Map<string, Ms>()
 
-  /** Notes a request that was running when the upstream ended. */
+  /** Records a request that the upstream was running when it terminated. */
   note (request: string, now: Ms): void {
-    this._ends.delete(request)
-    this._ends.set(request, now)
-    for (const oldest of this._ends.keys()) {
-      if (this._ends.size <= toldAtMost) break
-      this._ends.delete(oldest)
+    this._interruptedAt.delete(request)
+    this._interruptedAt.set(request, now)
+    for (const oldest of this._interruptedAt.keys()) {
+      if (this._interruptedAt.size <= maxReported) break
+      this._interruptedAt.delete(oldest)
     }
   }
 
-  /** Forgets what was answered whole here since: what ends an engine is never answered. */
+  /** Removes a request that has since been answered completely: a request that crashes the engine is never answered. */
   answered (request: () => string): void {
-    if (this._ends.size > 0) this._ends.delete(request())
+    if (this._interruptedAt.size > 0) this._interruptedAt.delete(request())
   }
 
-  /** What entries are told. */
+  /** The requests to report to entries, without those whose reporting time is over. */
   list (now: Ms): readonly InterruptedRequest[] {
-    for (const [request, at] of this._ends) if (now - at >= toldFor) this._ends.delete(request)
-    return [...this._ends].map(([request, at]) => ({ request, age: now - at }))
+    for (const [request, at] of this._interruptedAt) if (now - at >= reportDuration) this._interruptedAt.delete(request)
+    return [...this._interruptedAt].map(([request, at]) => ({ request, age: now - at }))
   }
 }
