--- a/packages/sidecar/src/lib/adapter-slots.ts
+++ b/packages/sidecar/src/lib/adapter-slots.ts
@@ -1,11 +1,11 @@
 /**
- * Carries out loads and unloads, under engine-side names of their own.
+ * Loads and unloads adapters in the engine; each load gets an engine-side name of its own.
  */
 import { type AdapterKey, type Clock, type EventRing, type Log, type Ms } from '@hazelford/core'
 import { type EngineClient, type EngineName, formatEngineName, type OrderOutcome, parseEngineName } from '@hazelford/engine'
 import type { Fence } from './fence.js'
 
-/** What loads work with. */
+/** Dependencies of {@link AdapterSlots}. */
 export interface AdapterSlotsOptions {
   readonly engine: EngineClient
   readonly fence: Fence
@@ -13,30 +13,30 @@
   readonly log: Log
   readonly events: EventRing
   readonly upstream: string
-  /** Whether the engine refuses orders with an old fencing number. */
+  /** Whether the engine refuses load and unload orders with an old fencing number. */
   readonly checksFencing: () => boolean
 }
 
-/** How a load went. */
+/** Outcome of a load. */
 export interface LoadResult {
   readonly loaded: boolean
   readonly took: Ms
 }
 
-/** No adapter has this name, so unloading it changes nothing. */
-const announceName = 'hazelford-fence'
+/** Engine-side name that no adapter has, so an order to unload it changes nothing. */
+const announcementName = 'hazelford-fence'
 
-function newerName (a: EngineName, b: EngineName | undefined): boolean {
+function isNewerName (a: EngineName, b: EngineName | undefined): boolean {
   return b === undefined || a.number > b.number || (a.number === b.number && a.generation > b.generation)
 }
 
-/** Engine-side names of what this sidecar serves from. */
+/** The adapters that this sidecar serves, with their engine-side names. */
 export class AdapterSlots {
   private readonly _names = new Map<AdapterKey, string>()
   private _generation = 0
   private _announced = false
-  /** Changes with each order, so that a listing taken around one is not trusted. */
-  private _orders = 0
+  /** Incremented before and after each load or unload order, so that a listing that overlaps an order is discarded. */
+  private _orderCount = 0
 
   constructor (private readonly _options: AdapterSlotsOptions) {}
 
@@ -47,18 +47,18 @@
   async load (adapter: AdapterKey): Promise<LoadResult> {
     const { engine, fence, clock, events, upstream, log } = this._options
     const from = clock.now()
-    if (!await this._mayOrder()) return { loaded: false, took: 0 }
+    if (!await this._maySendOrder()) return { loaded: false, took: 0 }
     const name = formatEngineName({ adapter, number: fence.number, generation: ++this._generation })
     events.add('load-started', { adapter, upstream })
-    this._orders++
+    this._orderCount++
     const outcome = await engine.load(name, adapter.replace('@', '/'), fence.number)
-    this._orders++
+    this._orderCount++
     const took = clock.now() - from
     events.add('load-ended', { adapter, upstream, note: outcome })
     if (outcome === 'done') this._names.set(adapter, name)
-    else log.warn('loads', 'load failed.', { adapter, outcome })
-    // A load whose reply was lost may still come to be, under a name that nothing
-    // uses. The next listing shows it and removes it.
+    else log.warn('loads', 'adapter load failed.', { adapter, outcome })
+    // A load whose reply was lost may still complete, under a name that no request uses.
+    // The next listing finds that name and unloads it.
     if (outcome === 'unknown' || outcome === 'no-slot') await this.list()
     return { loaded: outcome === 'done', took }
   }
@@ -67,7 +67,7 @@
   async unload (adapter: AdapterKey): Promise<'unloaded' | 'unknown'> {
     const name = this._names.get(adapter)
     if (name === undefined) return 'unloaded'
-    if (!await this._mayOrder()) return 'unknown'
+    if (!await this._maySendOrder()) return 'unknown'
     const outcome = await this._unloadName(name)
     if (outcome !== 'done' && outcome !== 'absent') return 'unknown'
     this._names.delete(adapter)
@@ -75,37 +75,39 @@
   }
 
   /**
-   * Asks the engine what it holds, adopts what an earlier sidecar loaded and removes
-   * what nothing uses.
+   * Lists the adapters in the engine, adopts those that an earlier sidecar loaded and
+   * unloads those that are not used.
    *
-   * @returns adapters that can be served from, or undefined when the engine is silent
-   * or an order was under way
+   * @returns the adapters that can be served, or undefined when the engine did not answer
+   * or a load or unload order was running
    */
   async list (): Promise<readonly AdapterKey[] | undefined> {
     await this._announce()
-    const ordersBefore = this._orders
+    const ordersBefore = this._orderCount
     const listed = await this._options.engine.list()
-    // A listing read before a load or unload took effect and used after it would drop
-    // an adapter that is loaded, or bring back one that is gone.
-    if (listed.isErr() || ordersBefore !== this._orders) return undefined
+    // A listing that was read before a load or unload took effect would, if applied after it,
+    // remove an adapter that is loaded or restore one that is unloaded.
+    if (listed.isErr() || ordersBefore !== this._orderCount) return undefined
     const newest = new Map<AdapterKey, EngineName>()
     const names = listed.value.names.map(parseEngineName).filter(name => name !== undefined)
     for (const name of names.filter(found => this._mayServeFrom(found))) {
-      if (newerName(name, newest.get(name.adapter))) newest.set(name.adapter, name)
+      if (isNewerName(name, newest.get(name.adapter))) newest.set(name.adapter, name)
     }
     this._adopt(newest)
     const own = this._options.fence.number
     const unused = names.filter(name => name.number <= own && this._names.get(name.adapter) !== formatEngineName(name))
-    if (unused.length > 0 && await this._mayOrder()) {
+    if (unused.length > 0 && await this._maySendOrder()) {
       for (const name of unused) await this._unloadName(formatEngineName(name))
     }
     return [...this._names.keys()]
   }
 
   /**
-   * A predecessor that wakes up from a pause can still unload what it loaded. Only an
-   * engine that checks numbers, and has seen ours, refuses that; on any other, what a
-   * predecessor left is not served from, and goes.
+   * Whether an adapter with this engine-side name may be served.
+   *
+   * A predecessor that resumes after a pause can still unload what it loaded. Only an engine
+   * that checks fencing numbers, and has received this sidecar's number, refuses that order.
+   * With any other engine, adapters that a predecessor loaded are not served but unloaded.
    */
   private _mayServeFrom (name: EngineName): boolean {
     const { fence, checksFencing } = this._options
@@ -114,13 +116,14 @@
   }
 
   /**
-   * Shows the engine our number by an order that changes nothing. Adopting gives no
-   * order, so an engine would go on obeying the predecessor until our first load.
+   * Sends this sidecar's fencing number to the engine with an unload order that changes
+   * nothing. Adopting adapters sends no order, so without it the engine would accept the
+   * predecessor's orders until this sidecar's first load.
    */
   private async _announce (): Promise<void> {
     const { engine, fence } = this._options
     if (this._announced || fence.number === 0) return
-    const outcome = await engine.unload(announceName, fence.number)
+    const outcome = await engine.unload(announcementName, fence.number)
     this._announced = outcome === 'absent' || outcome === 'done'
   }
 
@@ -134,19 +137,19 @@
     }
   }
 
-  private async _mayOrder (): Promise<boolean> {
+  private async _maySendOrder (): Promise<boolean> {
     const { fence, log, upstream } = this._options
     if (fence.number === 0) return false
     const verdict = await fence.check()
-    if (verdict === 'superseded') log.warn('fence', 'order withheld.', { upstream })
+    if (verdict === 'superseded') log.warn('fence', 'load or unload order not sent, a newer sidecar holds the engine.', { upstream })
     return verdict !== 'superseded'
   }
 
   private async _unloadName (name: string): Promise<OrderOutcome> {
     const { engine, fence, events, upstream } = this._options
-    this._orders++
+    this._orderCount++
     const outcome = await engine.unload(name, fence.number)
-    this._orders++
+    this._orderCount++
     events.add('unload', { adapter: name, upstream, note: outcome })
     return outcome
   }
