--- a/packages/sidecar/src/lib/entry-session.ts
+++ b/packages/sidecar/src/lib/entry-session.ts
@@ -1,11 +1,11 @@
 /**
- * What a sidecar keeps of one entry incarnation, over all its connections.
+ * State that a sidecar keeps for one entry incarnation, across all its connections.
  */
 import { RequestLedger } from '@hazelford/decisions'
 import type { Chunk, SidecarFrame } from '@hazelford/wire'
 import type { EntryLink, RequestRun } from './request-run.js'
 
-/** Ledger and open requests of one entry incarnation. */
+/** Request ledger and open requests of one entry incarnation. */
 export class EntrySession {
   readonly ledger = new RequestLedger()
   readonly runs = new Map<number, RequestRun>()
@@ -15,19 +15,19 @@
 
   get connected (): boolean { return this._link !== undefined }
 
-  /** Sends a frame; without a connection it is kept by the request and sent later. */
+  /** Sends a frame. Without a connection it is not sent; the request keeps its answer and sends it after the reconnect. */
   send = (frame: SidecarFrame): void => { this._link?.send(frame) }
 
-  /** Sends a chunk, on the same terms. */
+  /** Sends a chunk, in the same way as {@link EntrySession.send}. */
   sendChunk = (chunk: Chunk): void => { this._link?.sendChunk(chunk) }
 
-  /** A connection of this entry is open. */
+  /** Makes a newly opened connection the current one. */
   attach (link: EntryLink): void { this._link = link }
 
   /**
-   * A connection is gone.
+   * Handles a closed connection.
    *
-   * @returns whether it was the current one, not one already replaced
+   * @returns whether it was the current connection rather than one already replaced
    */
   detach (link: EntryLink): boolean {
     if (this._link !== link) return false
--- a/packages/sidecar/src/lib/fence.ts
+++ b/packages/sidecar/src/lib/fence.ts
@@ -1,22 +1,22 @@
 /**
- * The fencing number of this sidecar: proof that no other orders the same engine.
+ * The fencing number of this sidecar: shows that it is the newest sidecar that may send load and unload orders to the engine.
  */
 import { type Clock, type EventRing, type Log, newId, type Ms, sleep } from '@hazelford/core'
 import { type KvClient, casWithReadBack } from '@hazelford/consul'
 
-/** What stands in the key-value service for an upstream. */
+/** Record in the key-value service for one upstream. */
 interface FenceRecord {
-  /** Grows with each holder and is never used twice. */
+  /** Increases with each holder; no number is used twice. */
   readonly number: number
-  /** Random name of the write, by which a holder knows its own. */
+  /** Random token of the write, by which a holder recognises its own record. */
   readonly token: string
   readonly sidecar: string
 }
 
-/** Whether an order may go to the engine. */
+/** Whether a load or unload order may be sent to the engine. */
 export type FenceVerdict = 'held' | 'superseded' | 'unverified'
 
-/** What a fence works with. */
+/** Dependencies and settings of {@link Fence}. */
 export interface FenceOptions {
   readonly kv: KvClient
   readonly clock: Clock
@@ -24,7 +24,7 @@
   readonly events: EventRing
   readonly upstream: string
   readonly sidecar: string
-  /** How long a check of the record stays good, in ms. */
+  /** How long a check of the record stays valid, in ms. */
   readonly leaseMs: Ms
 }
 
@@ -35,7 +35,7 @@
   return json === undefined ? undefined : JSON.parse(json) as FenceRecord
 }
 
-/** Takes and checks a fencing number. */
+/** Acquires a fencing number and checks that it is still the highest. */
 export class Fence {
   private readonly _token = newId('fence')
   private readonly _key: string
@@ -47,16 +47,16 @@
     this._key = `hazelford/fence/${_options.upstream}`
   }
 
-  /** The number, or 0 before one is held. */
+  /** The number, or 0 before one is acquired. */
   get number (): number { return this._number }
 
-  /** Whether another sidecar took the upstream. */
+  /** Whether another sidecar has acquired a higher number for the upstream. */
   get superseded (): boolean { return this._superseded }
 
   /**
-   * Takes the next number, however long the key-value service is down.
+   * Acquires the next number; retries for as long as the key-value service is down.
    *
-   * @param stopped - ends the attempts
+   * @param stopped - ends the attempts when it returns true
    */
   async acquire (stopped: () => boolean): Promise<void> {
     const { clock } = this._options
@@ -72,31 +72,31 @@
     if (read.isErr()) return false
     const { entry } = read.value
     const current = readRecord(entry?.value)
-    // A write whose reply was lost may have taken effect after we read back and gave
-    // up on it. Taking another number on top would be safe but would waste one.
-    if (current?.token === this._token) return this._hold(current.number)
+    // A write whose reply was lost may take effect after the read-back that missed it.
+    // Acquiring another number would be safe but would waste this one.
+    if (current?.token === this._token) return this._adoptNumber(current.number)
     const record: FenceRecord = { number: (current?.number ?? 0) + 1, token: this._token, sidecar }
     const isOwn = (value: string): boolean => readRecord(value)?.token === this._token
     const outcome = await casWithReadBack(kv, this._key, entry?.modifyIndex ?? 0, JSON.stringify(record), isOwn)
     if (outcome.kind !== 'stored') return false
-    this._hold(record.number)
+    this._adoptNumber(record.number)
     this._verifiedAt = clock.now()
-    log.info('fence', 'number taken.', { upstream, number: record.number })
+    log.info('fence', 'fencing number acquired.', { upstream, number: record.number })
     events.add('fence', { upstream, note: `number ${record.number} taken` })
     return true
   }
 
-  private _hold (number: number): true {
+  private _adoptNumber (number: number): true {
     this._number = number
     return true
   }
 
   /**
-   * Checks before an order that the number is still the highest.
+   * Checks before a load or unload order that the number is still the highest.
    *
-   * A holder can be paused for longer than its lease and wake up in the middle of an
-   * order, while a successor has taken over. The monotonic clock shows the pause; the
-   * record then tells whether somebody else holds the upstream.
+   * A holder can be paused for longer than its lease and resume in the middle of an order
+   * while a successor has taken over. The monotonic clock reveals the pause; the record then
+   * shows whether another sidecar holds the upstream.
    */
   async check (): Promise<FenceVerdict> {
     const { clock, leaseMs } = this._options
@@ -110,9 +110,10 @@
     const { kv, clock, log, events, upstream } = this._options
     const askedAt = clock.now()
     const read = await kv.read(this._key)
-    // Nobody can take a number while the service is down, so an order by an unverified
-    // holder meets at worst a successor that took over before the outage. Engines that
-    // check numbers refuse it, and engine-side names keep it off what the successor uses.
+    // No sidecar can acquire a number while the key-value service is down, so an order of an
+    // unverified holder conflicts at worst with a successor that took over before the outage.
+    // Engines that check fencing numbers refuse the order, and the engine-side names of loads
+    // prevent it from hitting the adapters that the successor uses.
     if (read.isErr()) return 'unverified'
     const record = readRecord(read.value.entry?.value)
     if (record !== undefined && record.number > this._number) {
