--- a/packages/sidecar/src/lib/load-permits.ts
+++ b/packages/sidecar/src/lib/load-permits.ts
@@ -1,6 +1,6 @@
 /**
- * Shares the weight store between sidecars without a coordinator: a few permits in
- * one record of the key-value service, taken and returned by compare-and-swap.
+ * Shares the weight store between sidecars without a central process: one record in the
+ * key-value service holds a few permits, which are taken and returned by compare-and-swap.
  */
 import { type CancelTimer, type Clock, type Log, type Ms, newId, sleep } from '@hazelford/core'
 import { LoadThrottle } from '@hazelford/decisions'
@@ -9,27 +9,27 @@
 interface Permit {
   readonly token: string
   readonly sidecar: string
-  /** Wall time after which the holder counts as gone. */
+  /** Wall time at which the permit expires; a holder that has not renewed it by then counts as dead. */
   readonly until: Ms
 }
 
 interface PermitRecord {
   readonly permits: readonly Permit[]
-  /** Wall times at which recent loads began, for the store's rate. */
+  /** Wall times at which recent loads began, for the rate limit of the weight store. */
   readonly begun: readonly Ms[]
-  /** Makes every write differ from every other. */
+  /** Unique for each write, so that a writer recognises its own. */
   readonly writeId: string
 }
 
-/** What the permits allow. */
+/** Limits on loads from the weight store. */
 export interface PermitLimits {
   readonly atOnce: number
   readonly perSecond: number
-  /** Sidecars that share the store, for the share each has while the service is down. */
+  /** Number of sidecars that share the weight store; sets the share of each while the key-value service is down. */
   readonly sharers: number
 }
 
-/** What the permits work with. */
+/** Dependencies of {@link LoadPermits}. */
 export interface PermitOptions {
   readonly kv: KvClient
   readonly clock: Clock
@@ -41,21 +41,21 @@
 /** A right to load one adapter. */
 export interface HeldPermit {
   /**
-   * Returns it.
+   * Returns the permit.
    *
-   * @param took - ms of the load; undefined when none was begun
-   * @param loaded - whether it succeeded
+   * @param took - duration of the load in ms; undefined when no load was started
+   * @param loaded - whether the load succeeded
    */
   readonly giveBack: (took?: Ms, loaded?: boolean) => void
 }
 
 const recordKey = 'hazelford/load-permits'
-/** A permit runs out this long after it was taken or renewed. */
-const permitLife: Ms = 3_000
-const renewEvery: Ms = 1_000
-const watchWait: Ms = 2_000
-const conflictPause: Ms = 10
-const rankPause: Ms = 15
+/** A permit expires this long after it was taken or renewed. */
+const permitTtl: Ms = 3_000
+const renewInterval: Ms = 1_000
+const watchTimeout: Ms = 2_000
+const conflictDelay: Ms = 10
+const rankDelay: Ms = 15
 const second: Ms = 1_000
 
 type Attempt =
@@ -67,74 +67,74 @@
 
 /** Takes and returns permits for one sidecar. */
 export class LoadPermits {
-  private _pacer: LoadThrottle | undefined
+  private _throttle: LoadThrottle | undefined
 
   constructor (private readonly _options: PermitOptions) {}
 
   /**
    * Waits for a permit.
    *
-   * @param currentRank - urgency of the load, 0 first: less urgent ones try a little
-   * later. It is asked anew each time, since a more urgent request may have come.
-   * @returns the permit; there is always one in the end
+   * @param currentRank - priority of the load, 0 is the most urgent: less urgent loads try a
+   * little later. Called for each attempt, since a more urgent request may have arrived.
+   * @returns the permit; waits until one is available
    */
   async acquire (currentRank: () => number): Promise<HeldPermit> {
     const { clock, kv } = this._options
     const token = newId('permit')
     for (;;) {
-      const attempt = await this._try(token)
+      const attempt = await this._tryAcquire(token)
       const rank = currentRank()
       switch (attempt.kind) {
         case 'taken':
-          return this._held(token)
+          return this._renewPermit(token)
         case 'down':
-          // The record may hold a permit whose reply was lost; nobody will use it.
-          this._giveBack(token).catch(() => {})
-          return this._takeShare()
+          // The record may hold a permit whose reply was lost and which this sidecar won't use.
+          this._removePermit(token).catch(() => {})
+          return this._permitWithoutService()
         case 'full':
-          await kv.watch(recordKey, attempt.index, watchWait)
-          await sleep(clock, rank * rankPause * (1 + Math.random()))
+          await kv.watch(recordKey, attempt.index, watchTimeout)
+          await sleep(clock, rank * rankDelay * (1 + Math.random()))
           break
         case 'rate':
-          await sleep(clock, attempt.wait + rank * rankPause)
+          await sleep(clock, attempt.wait + rank * rankDelay)
           break
         case 'conflict':
-          await sleep(clock, conflictPause * (1 + rank + Math.random()))
+          await sleep(clock, conflictDelay * (1 + rank + Math.random()))
       }
     }
   }
 
-  /** A permit, renewed while its load lasts. */
-  private _held (token: string): HeldPermit {
+  /** Renews a permit every second until it is returned. */
+  private _renewPermit (token: string): HeldPermit {
     const { clock } = this._options
     let cancel: CancelTimer = () => {}
     const renewLater = (): void => {
-      cancel = clock.after(renewEvery, () => {
-        this._change(token, permit => [{ ...permit, until: clock.wall() + permitLife }]).catch(() => {})
+      cancel = clock.after(renewInterval, () => {
+        this._replacePermit(token, permit => [{ ...permit, until: clock.wall() + permitTtl }]).catch(() => {})
         renewLater()
       })
     }
     renewLater()
     return {
       giveBack: (took, loaded) => {
-        this._observe(took, loaded)
+        this._recordLoad(took, loaded)
         cancel()
-        this._giveBack(token).catch(() => {})
+        this._removePermit(token).catch(() => {})
       }
     }
   }
 
-  private async _try (token: string): Promise<Attempt> {
+  private async _tryAcquire (token: string): Promise<Attempt> {
     const { kv, clock, sidecar, limits } = this._options
     const read = await kv.read(recordKey)
     if (read.isErr()) return { kind: 'down' }
     const now = clock.wall()
-    const record = this._live(read.value.entry?.value, now)
+    const record = this._withoutExpired(read.value.entry?.value, now)
     if (record.permits.some(permit => permit.token === token)) return { kind: 'taken' }
     const { atOnce, perSecond } = limits()
     if (record.permits.length >= atOnce) return { kind: 'full', index: read.value.index }
     if (record.begun.length >= perSecond) return { kind: 'rate', wait: record.begun[0]! + second - now }
-    const permits = [...record.permits, { token, sidecar, until: now + permitLife }]
+    const permits = [...record.permits, { token, sidecar, until: now + permitTtl }]
     const next: PermitRecord = { permits, begun: [...record.begun, now], writeId: newId('w') }
     const outcome = await this._write(read.value.entry?.modifyIndex ?? 0, next)
     return outcome
@@ -151,60 +151,63 @@
     }
   }
 
-  /** The record without what has run out. */
-  private _live (json: string | undefined, now: Ms): PermitRecord {
+  /** The record without expired permits and without loads that began more than a second ago. */
+  private _withoutExpired (json: string | undefined, now: Ms): PermitRecord {
     if (json === undefined) return { permits: [], begun: [], writeId: '' }
     const record = JSON.parse(json) as PermitRecord
     return {
-      // A holder that died would keep its permit for good and loads would stop. Its
-      // permit ends by itself; two loads at once are slow, but not wrong.
+      // If permits did not expire, a holder that died would keep its permit and loads would
+      // stop. Two loads at once after an expiry are slow but harmless.
       permits: record.permits.filter(permit => permit.until > now),
       begun: record.begun.filter(at => at > now - second && at <= now),
       writeId: record.writeId
     }
   }
 
-  private _giveBack (token: string): Promise<void> { return this._change(token, () => []) }
+  private _removePermit (token: string): Promise<void> { return this._replacePermit(token, () => []) }
 
-  /** Replaces our permit in the record by what `replace` makes of it. */
-  private async _change (token: string, replace: (permit: Permit) => readonly Permit[]): Promise<void> {
+  /** Replaces this sidecar's permit in the record by the permits that `replace` returns. */
+  private async _replacePermit (token: string, replace: (permit: Permit) => readonly Permit[]): Promise<void> {
     const { kv, clock } = this._options
-    const end = clock.now() + permitLife
+    const end = clock.now() + permitTtl
     while (clock.now() < end) {
       const read = await kv.read(recordKey)
       if (read.isErr()) return
       const { entry } = read.value
       if (entry === undefined) return
-      const record = this._live(entry.value, clock.wall())
+      const record = this._withoutExpired(entry.value, clock.wall())
       if (!record.permits.some(permit => permit.token === token)) return
       const permits = record.permits.flatMap(permit => permit.token === token ? replace(permit) : [permit])
       const outcome = await this._write(entry.modifyIndex, { ...record, permits, writeId: newId('w') })
       if (outcome.kind !== 'conflict') return
-      await sleep(clock, conflictPause * Math.random())
+      await sleep(clock, conflictDelay * Math.random())
     }
   }
 
   /**
-   * Without the service nothing tells who loads; the time of loads does, and keeps each
-   * sidecar between what it needs and its share of the store's rate.
+   * Permits a load while the key-value service is down.
+   *
+   * Sidecars then can't see each other's loads. The duration of its own loads shows a sidecar
+   * how busy the weight store is; the throttle keeps its rate between what it needs and its
+   * share of the store's rate.
    */
-  private async _takeShare (): Promise<HeldPermit> {
+  private async _permitWithoutService (): Promise<HeldPermit> {
     const { clock } = this._options
-    const pacer = this._ownPacer()
-    const wait = pacer.delay(clock.now())
+    const throttle = this._ownThrottle()
+    const wait = throttle.delay(clock.now())
     if (wait > 0) await sleep(clock, wait)
-    pacer.started(clock.now())
-    return { giveBack: (took, loaded) => this._observe(took, loaded) }
+    throttle.started(clock.now())
+    return { giveBack: (took, loaded) => this._recordLoad(took, loaded) }
   }
 
-  /** Loads under permits teach the pacer too, so that an outage does not begin with a guess. */
-  private _observe (took: Ms | undefined, loaded = true): void {
-    if (took !== undefined) this._ownPacer().ended(took, loaded)
+  /** Also records loads under permits, so that the throttle starts an outage with measured durations. */
+  private _recordLoad (took: Ms | undefined, loaded = true): void {
+    if (took !== undefined) this._ownThrottle().ended(took, loaded)
   }
 
-  private _ownPacer (): LoadThrottle {
+  private _ownThrottle (): LoadThrottle {
     const { perSecond, sharers } = this._options.limits()
-    this._pacer ??= new LoadThrottle(second * Math.max(1, sharers) / perSecond)
-    return this._pacer
+    this._throttle ??= new LoadThrottle(second * Math.max(1, sharers) / perSecond)
+    return this._throttle
   }
 }
