--- a/packages/sidecar/src/lib/request-dispatcher.ts
+++ b/packages/sidecar/src/lib/request-dispatcher.ts
@@ -1,5 +1,5 @@
 /**
- * Takes requests from entries, puts them through the plan and carries out its effects.
+ * Receives requests from entries, passes them to the upstream plan and carries out the effects that it returns.
  */
 import { adapterKey, assertNever, callDigest, failure, type Failure, type FailureCode, type Ms, parseTrafficClass, Task } from '@hazelford/core'
 import { type PlanEffect, type PlanLimits, type PlanMessage, type PlanReport, planUpstream, UpstreamPlan } from '@hazelford/decisions'
@@ -12,91 +12,91 @@
 import type { SidecarOptions } from './sidecar-options.js'
 import type { RunnerEvents, UpstreamRunner } from './upstream-runner.js'
 
-/** Parts that only a sidecar beside a model engine has. */
+/** Components that only the sidecar of a model engine has. */
 export interface ModelParts {
   readonly slots: AdapterSlots
   readonly permits: LoadPermits
 }
 
-/** What the desk works with besides the sidecar's options. */
+/** Dependencies of the dispatcher besides the sidecar's options. */
 export interface DispatcherParts {
   readonly limits: PlanLimits
   readonly model?: ModelParts
   readonly createRunner: (events: RunnerEvents) => UpstreamRunner
-  /** Something that entries should hear of soon has changed. */
+  /** Called on a change that entries should receive before the next regular heartbeat. */
   readonly changed: () => void
 }
 
-const refusalTexts: Partial<Record<FailureCode, string>> = {
-  'overloaded': 'The upstream has too much to do. Send the request again later.',
+const refusalMessages: Partial<Record<FailureCode, string>> = {
+  'overloaded': 'The upstream is overloaded. Send the request again later.',
   'queue-deadline': 'The deadline passed while the request waited. Send it again later.',
   'withdrawn': 'The request was withdrawn before it ran.',
-  'leaving': 'The upstream is leaving. Another one may take the request.',
+  'leaving': 'The upstream is leaving. Another upstream may accept the request.',
   'load-failed': 'The adapter could not be loaded. Send the request again later.'
 }
 
-const notLoadedLimit = 5
+const maxReloads = 5
 
-/** The same for each attempt at a request, at whichever sidecar. */
-function digestOf ({ method, service, path, body }: Request): string { return callDigest(method, `${service} ${path}`, body) }
+/** Digest of a request; the same for each attempt, at every sidecar. */
+function requestDigest ({ method, service, path, body }: Request): string { return callDigest(method, `${service} ${path}`, body) }
 
-/** The requests of one upstream. */
+/** Dispatches the requests of one upstream. */
 export class RequestDispatcher {
   private readonly _plan: UpstreamPlan
   private readonly _task: Task<PlanMessage, PlanEffect>
   private readonly _runner: UpstreamRunner
   private readonly _runs = new Map<string, RequestRun>()
   private readonly _reloads = new Map<string, number>()
-  private readonly _ended = new InterruptedRequests()
+  private readonly _interrupted = new InterruptedRequests()
   private _permit: HeldPermit | undefined
-  private _wantedRank: number | undefined
+  private _requestedRank: number | undefined
 
   constructor (private readonly _options: SidecarOptions, private readonly _parts: DispatcherParts) {
     this._plan = new UpstreamPlan(_parts.limits, _options.random ?? Math.random)
     this._runner = _parts.createRunner({
       finished: (run, ran) => this._finished(run, ran),
       notLoaded: run => this._notLoaded(run),
-      endedUnder: run => this._endedUnder(run)
+      endedUnder: run => this._recordInterrupted(run)
     })
     this._task = new Task(planUpstream(this._plan), effect => this._perform(effect))
   }
 
-  /** Load and slots, for heartbeats. */
+  /** Load and adapter slots, for heartbeats. */
   report (): PlanReport { return this._plan.report() }
 
-  /** Requests under which the upstream ended, for heartbeats. */
-  endedUnder (): readonly InterruptedRequest[] { return this._ended.list(this._now()) }
+  /** Requests that the upstream was running when it terminated, for heartbeats. */
+  endedUnder (): readonly InterruptedRequest[] { return this._interrupted.list(this._now()) }
 
   /** Whether no request is queued or running. */
   get idle (): boolean { return this._runs.size === 0 }
 
-  /** Requests queued or running. */
+  /** Number of requests queued or running. */
   get size (): number { return this._runs.size }
 
   setLimits (limits: PlanLimits): void { this._post({ kind: 'limits', at: this._now(), limits }) }
 
-  /** Refuses what waits and whatever comes. */
+  /** Refuses the queued requests and all that arrive from now on. */
   leave (): void { this._post({ kind: 'leave', at: this._now() }) }
 
-  /** Takes work again after a drain. */
+  /** Accepts requests again after a drain. */
   resumeAccepting (): void { this._post({ kind: 'return', at: this._now() }) }
 
-  /** Takes the engine's own word on what is loaded. */
+  /** Applies the engine's listing of loaded adapters. */
   slotsListed (loaded: readonly string[]): void {
     this._post({ kind: 'slots-listed', at: this._now(), loaded })
   }
 
-  /** Takes a request frame. */
+  /** Handles a request frame. */
   receiveRequest (session: EntrySession, request: Request, refusal?: Failure): void {
     const verdict = session.ledger.register(request.seq)
     if (verdict === 'duplicate' && session.runs.has(request.seq)) return
     const run = new RequestRun(`${session.incarnation}.${request.seq}`, request, session)
     switch (verdict) {
       case 'duplicate':
-        // The frame was taken before and its request is over. Nobody here remembers how.
-        return run.end(failure('may-have-run', 'duplicate-frame', 'The request frame came twice.'))
+        // The frame was received before and its request has ended; its outcome is no longer known here.
+        return run.end(failure('may-have-run', 'duplicate-frame', 'The request frame was received twice.'))
       case 'withdrawn':
-        return run.end(failure('not-run', 'withdrawn', refusalTexts.withdrawn!))
+        return run.end(failure('not-run', 'withdrawn', refusalMessages.withdrawn!))
       case 'new':
         break
       default: return assertNever(verdict)
@@ -119,35 +119,39 @@
     })
   }
 
-  /** Takes a withdraw frame. */
+  /** Handles a withdraw frame. */
   withdraw (session: EntrySession, frame: Withdraw): void {
     const run = session.runs.get(frame.seq)
     if (run === undefined) {
       session.ledger.recordWithdrawal(frame.seq)
       return
     }
-    this._giveUp(run)
+    this._stopRequest(run)
   }
 
-  /** Drops what an entry no longer names after it reconnected. */
+  /**
+   * Stops the requests that an entry no longer lists after a reconnect.
+   *
+   * @returns sequence numbers of the requests that are still open here
+   */
   reconcile (session: EntrySession, hello: Hello): readonly number[] {
     const named = new Map(hello.open.map(open => [open.seq, open.received]))
     for (const [seq, run] of session.runs) {
       if (named.has(seq)) continue
       session.runs.delete(seq)
-      this._giveUp(run)
+      this._stopRequest(run)
     }
     return [...session.runs.keys()]
   }
 
-  /** An entry did not come back: nobody will read these answers. */
+  /** Stops all requests of an entry that did not reconnect, since no process will read their answers. */
   abandon (session: EntrySession): void {
-    for (const run of session.runs.values()) this._giveUp(run)
+    for (const run of session.runs.values()) this._stopRequest(run)
     session.runs.clear()
   }
 
-  /** Stops a request that may stop; a call that must not run twice goes on to its end. */
-  private _giveUp (run: RequestRun): void {
+  /** Stops a request if it may be stopped; a running call that must not run twice continues to its end. */
+  private _stopRequest (run: RequestRun): void {
     const { request } = run
     switch (run.state) {
       case 'queued':
@@ -163,10 +167,10 @@
           this._cancel(run)
           return
         }
-        // A booking under way can't be called back. Its place stays taken and its
-        // outcome is kept under its key; only the wait for it ends here.
+        // A running call that is not idempotent can't be undone. It keeps its batch slot until it
+        // ends and its outcome is stored under its key; only the wait for its answer ends here.
         run.handle?.resume()
-        run.end(failure('may-have-run', 'withdrawn', 'The call was under way when it was withdrawn.'))
+        run.end(failure('may-have-run', 'withdrawn', 'The call was running when it was withdrawn.'))
         return
       }
       case 'ended': return
@@ -174,7 +178,7 @@
     }
   }
 
-  /** The request keeps its place and its pin until the upstream has stopped. */
+  /** Cancels a running request, which keeps its batch slot and its pin until the upstream has stopped it. */
   private _cancel (run: RequestRun): void {
     const { handle } = run
     if (handle === undefined) return this._finished(run, false)
@@ -189,11 +193,11 @@
     switch (effect.kind) {
       case 'start': return this._start(effect.id)
       case 'refuse': return this._refuse(effect.id, effect.code, effect.retryAfter)
-      case 'want-permit': return this._wantPermit(effect.rank)
+      case 'want-permit': return this._acquirePermit(effect.rank)
       case 'return-permit': return this._returnPermit()
       case 'load': return this._load(effect.adapter)
       case 'unload': return this._unload(effect.adapter)
-      case 'list-slots': return this._list()
+      case 'list-slots': return this._listAdapters()
       case 'wake':
         this._options.clock.after(effect.after, () => this._post({ kind: 'tick', at: this._now() }))
         return
@@ -211,30 +215,30 @@
     const run = this._runs.get(id)
     if (run === undefined) return
     this._options.meter.count('refused', 1, { code })
-    run.end(failure('not-run', code, refusalTexts[code] ?? code, retryAfter))
+    run.end(failure('not-run', code, refusalMessages[code] ?? code, retryAfter))
     this._runs.delete(id)
   }
 
   private _finished (run: RequestRun, ran: boolean): void {
     if (!this._runs.delete(run.id)) return
     this._reloads.delete(run.id)
-    if (run.isComplete) this._ended.answered(() => digestOf(run.request))
+    if (run.isComplete) this._interrupted.answered(() => requestDigest(run.request))
     this._options.events.add('request-ended', { request: run.request.id, upstream: this._options.upstream })
     this._post({ kind: 'finished', at: this._now(), id: run.id, ran })
   }
 
-  private _endedUnder ({ request }: RequestRun): void {
+  private _recordInterrupted ({ request }: RequestRun): void {
     const { log, upstream } = this._options
-    const digest = digestOf(request)
-    log.warn('sidecar', 'upstream ended under a request.', { upstream, request: request.id, digest })
-    this._ended.note(digest, this._now())
+    const digest = requestDigest(request)
+    log.warn('sidecar', 'upstream terminated while running a request.', { upstream, request: request.id, digest })
+    this._interrupted.note(digest, this._now())
     this._parts.changed()
   }
 
   private _notLoaded (run: RequestRun): void {
     const reloads = (this._reloads.get(run.id) ?? 0) + 1
-    if (reloads > notLoadedLimit) {
-      run.end(failure('not-run', 'load-failed', refusalTexts['load-failed']!, 1_000))
+    if (reloads > maxReloads) {
+      run.end(failure('not-run', 'load-failed', refusalMessages['load-failed']!, 1_000))
       return this._finished(run, false)
     }
     this._reloads.set(run.id, reloads)
@@ -242,12 +246,12 @@
     this._post({ kind: 'not-loaded', at: this._now(), id: run.id })
   }
 
-  private _wantPermit (rank: number): void {
-    const alreadyAsking = this._wantedRank !== undefined
-    this._wantedRank = rank
-    if (alreadyAsking) return
-    this._parts.model?.permits.acquire(() => this._wantedRank ?? rank).then(permit => {
-      this._wantedRank = undefined
+  private _acquirePermit (rank: number): void {
+    const isAcquiring = this._requestedRank !== undefined
+    this._requestedRank = rank
+    if (isAcquiring) return
+    this._parts.model?.permits.acquire(() => this._requestedRank ?? rank).then(permit => {
+      this._requestedRank = undefined
       this._permit = permit
       this._post({ kind: 'permit', at: this._now() })
     }, () => {})
@@ -275,11 +279,11 @@
     }, () => {})
   }
 
-  private _list (): void {
+  private _listAdapters (): void {
     const retryMs = 500
     this._parts.model?.slots.list().then(loaded => {
       if (loaded !== undefined) return this.slotsListed(loaded)
-      this._options.clock.after(retryMs, () => this._list())
+      this._options.clock.after(retryMs, () => this._listAdapters())
     }, () => {})
   }
 }
