--- a/packages/sidecar/src/lib/sidecar-options.ts
+++ b/packages/sidecar/src/lib/sidecar-options.ts
@@ -1,26 +1,26 @@
 /**
- * What a sidecar is built from.
+ * Options of a sidecar.
  */
 import type { Clock, EventRing, HybridClock, Log, Ms } from '@hazelford/core'
 import type { EngineClient, PlainClient } from '@hazelford/engine'
 import type { KvClient } from '@hazelford/consul'
 
-/** The upstream behind a sidecar. */
+/** Client of the upstream that the sidecar serves. */
 export type UpstreamClient =
   | { readonly kind: 'model', readonly engine: EngineClient }
   | { readonly kind: 'plain', readonly plain: PlainClient }
 
-/** Counts and gauges; the daemon sends them on. */
+/** Receives counts, gauges and timings; the daemon sends them to StatsD. */
 export interface Meter {
   readonly count: (name: string, by?: number, tags?: Record<string, string>) => void
   readonly gauge: (name: string, value: number) => void
   readonly timing: (name: string, ms: Ms, tags?: Record<string, string>) => void
 }
 
-/** A meter that measures nothing. */
+/** A meter that discards all values. */
 export const silentMeter: Meter = { count: () => {}, gauge: () => {}, timing: () => {} }
 
-/** Everything a sidecar works with. Tests replace the clients by fakes. */
+/** Settings and dependencies of a sidecar. Tests replace the clients by fakes. */
 export interface SidecarOptions {
   readonly name: string
   readonly zone: string
@@ -32,7 +32,7 @@
   readonly hlc: HybridClock
   readonly events: EventRing
   readonly meter: Meter
-  /** How long a check of the fencing number stays good, in ms. */
+  /** How long a check of the fencing number stays valid, in ms. */
   readonly leaseMs: Ms
   /** Ms between heartbeats; default 250. */
   readonly heartbeatMs?: Ms
