--- a/packages/sidecar/src/lib/sidecar.ts
+++ b/packages/sidecar/src/lib/sidecar.ts
@@ -1,5 +1,5 @@
 /**
- * One sidecar: the only way to its upstream.
+ * One sidecar, through which all requests to its upstream pass.
  */
 import { type ConfigDocument, failure, type Failure, newId, type Ms } from '@hazelford/core'
 import { type Config, ConfigState, type Upstream } from '@hazelford/config'
@@ -16,10 +16,10 @@
 import type { SidecarOptions } from './sidecar-options.js'
 import { createModelRunner, createPlainRunner, type RunnerEvents, type UpstreamRunner } from './upstream-runner.js'
 
-/** Whether the sidecar takes new work. */
+/** Whether the sidecar accepts new requests. */
 export type SidecarState = 'cold' | 'serving' | 'leaving'
 
-/** What operators see of a sidecar. */
+/** Status of a sidecar for operators. */
 export interface SidecarStatus {
   readonly role: 'sidecar'
   readonly name: string
@@ -33,13 +33,13 @@
   readonly report: PlanReport
 }
 
-const unsetLimits: PlanLimits = { slots: 1, places: 1, queueLimit: 256, draftLinger: 0 }
-const unsetPermits: PermitLimits = { atOnce: 1, perSecond: 4, sharers: 1 }
-/** How long an entry may be gone before its idempotent requests are stopped. */
+const initialLimits: PlanLimits = { slots: 1, places: 1, queueLimit: 256, draftLinger: 0 }
+const initialPermitLimits: PermitLimits = { atOnce: 1, perSecond: 4, sharers: 1 }
+/** How long an entry may be disconnected before its idempotent requests are stopped. */
 const sessionGraceMs: Ms = 5_000
-/** How long a ledger is kept after its entry went. */
+/** How long a request ledger is kept after its entry disconnected. */
 const sessionKeepMs: Ms = 10 * 60_000
-const leaveNoticeMs: Ms = 50
+const shutdownPollMs: Ms = 50
 const listIntervalMs: Ms = 1_000
 
 /**
@@ -59,33 +59,33 @@
   private readonly _sessions = new Map<string, EntrySession>()
   private readonly _connections = new Map<Connection, EntrySession>()
   private readonly _fence: Fence
-  private readonly _desk: RequestDispatcher
+  private readonly _dispatcher: RequestDispatcher
   private readonly _reporter: HeartbeatReporter
   private readonly _slots: AdapterSlots | undefined
   private _server: ChannelServer | undefined
   private _state: SidecarState = 'cold'
-  /** Whether everything that serving needs is there. */
-  private _warm = false
+  /** Whether the sidecar can serve: it has a fencing number, or its upstream is a plain service, which needs none. */
+  private _isReady = false
   private _shuttingDown = false
   private _stopped = false
-  private _lastTick: Ms
+  private _lastBeatAt: Ms
 
   constructor (private readonly _options: SidecarOptions) {
     const { kv, clock, log, events, upstream, name, leaseMs } = _options
     this.config = new ConfigState(log, events)
-    this._lastTick = clock.now()
+    this._lastBeatAt = clock.now()
     this._fence = new Fence({ kv, clock, log, events, upstream, sidecar: name, leaseMs })
     const model = this._createModelParts()
     this._slots = model?.slots
     this._reporter = new HeartbeatReporter(clock, {
       state: () => this._state,
       revision: () => this.config.revision,
-      report: () => this._desk.report(),
-      ended: () => this._desk.endedUnder(),
+      report: () => this._dispatcher.report(),
+      ended: () => this._dispatcher.endedUnder(),
       connections: () => this._connections.keys()
     })
-    this._desk = new RequestDispatcher(_options, {
-      limits: unsetLimits,
+    this._dispatcher = new RequestDispatcher(_options, {
+      limits: initialLimits,
       ...(model === undefined ? {} : { model }),
       createRunner: runnerEvents => this._createRunner(runnerEvents, model),
       changed: () => this._reporter.sendSoon()
@@ -95,22 +95,22 @@
 
   get state (): SidecarState { return this._state }
 
-  /** Requests queued or running. */
-  get openRequests (): number { return this._desk.size }
+  /** Number of requests queued or running. */
+  get openRequests (): number { return this._dispatcher.size }
 
   /**
-   * Begins to serve.
+   * Starts to listen for entries.
    *
    * @param host - address to listen on
-   * @param port - 0 lets the kernel choose
+   * @param port - port to listen on; 0 lets the kernel choose one
    * @returns the bound port
    */
   async listen (host: string, port: number): Promise<number> {
     const { clock, hlc, events } = this._options
     this._server = await startChannelServer({ host, port, clock, hlc, accept: connection => this._accept(connection) })
     events.add('process', { note: `sidecar ${this._options.name} listens`, upstream: this._options.upstream })
-    this._beat()
-    if (this._options.client.kind === 'plain') this._warmUp()
+    this._heartbeat()
+    if (this._options.client.kind === 'plain') this._markReady()
     else this._startModel()
     return this._server.port
   }
@@ -126,15 +126,15 @@
       incarnation: this.incarnation,
       fencingNumber: this._fence.number,
       entries: [...this._connections.values()].map(session => session.entry),
-      report: this._desk.report()
+      report: this._dispatcher.report()
     }
   }
 
   /**
-   * Leaves: tells entries, refuses new work, finishes what runs.
+   * Shuts down gracefully: notifies entries, refuses new requests, finishes the running ones.
    *
-   * @param limit - ms after which requests still running are given up
-   * @returns once nothing runs or the limit has passed
+   * @param limit - ms after which requests still running are abandoned
+   * @returns resolves when no request is running or the limit has passed
    */
   async shutdown (limit: Ms = 60_000): Promise<void> {
     const { clock, events, upstream } = this._options
@@ -142,23 +142,23 @@
     events.add('leaving', { upstream })
     this._updateState()
     const end = clock.now() + limit
-    while (!this._isQuiet() && clock.now() < end) await this._pause(leaveNoticeMs)
-    await this._pause(leaveNoticeMs)
+    while (!this._isQuiet() && clock.now() < end) await this._pause(shutdownPollMs)
+    await this._pause(shutdownPollMs)
     this.stop()
   }
 
-  /** Stops at once. Open requests are lost; for tests of crashes use this. */
+  /** Stops at once; open requests are lost. Tests use it to simulate a crash. */
   stop (): void {
     this._stopped = true
     this._server?.close()
   }
 
-  /** Cuts the channels; entries reconnect. For tests. */
+  /** Breaks all channels; entries reconnect. For tests. */
   cutChannels (): void { this._server?.cutAll() }
 
-  /** Nothing runs, and every connected entry has confirmed all its answers. */
+  /** Whether no request is running and every connected entry has acknowledged all its answers. */
   private _isQuiet (): boolean {
-    if (!this._desk.idle) return false
+    if (!this._dispatcher.idle) return false
     return [...this._connections.values()].every(session => session.runs.size === 0)
   }
 
@@ -189,7 +189,7 @@
 
   private _permitLimits (): PermitLimits {
     const { config } = this.config
-    if (config === undefined) return unsetPermits
+    if (config === undefined) return initialPermitLimits
     const models = [...config.upstreams.values()].filter(upstream => config.services.get(upstream.service)?.kind === 'model')
     return { atOnce: config.policy.loads_at_once, perSecond: config.policy.loads_per_second, sharers: models.length }
   }
@@ -198,7 +198,7 @@
     const upstream = this._upstream()
     const service = upstream === undefined ? undefined : config.services.get(upstream.service)
     if (upstream !== undefined && service !== undefined) {
-      this._desk.setLimits({
+      this._dispatcher.setLimits({
         slots: upstream.slots,
         places: upstream.places,
         queueLimit: service.queueLimit,
@@ -211,26 +211,27 @@
   }
 
   /**
-   * A model engine: take a number, then serve. Until then no adapter can be loaded, and
-   * taking requests would only keep them from upstreams that can answer.
+   * Starts a sidecar of a model engine: acquires a fencing number, then serves. Without the
+   * number no adapter can be loaded, and a request accepted here would wait instead of
+   * going to an upstream that can answer it.
    */
   private _startModel (): void {
     this._fence.acquire(() => this._stopped).then(() => {
-      this._warmUp()
+      this._markReady()
       this._watchEngine()
     }, () => {})
   }
 
-  private _warmUp (): void {
-    this._warm = true
+  private _markReady (): void {
+    this._isReady = true
     this._updateState()
   }
 
-  /** Lists the engine now and then: a restarted engine has lost everything. */
+  /** Lists the engine's adapters every second, since a restarted engine has lost all of them. */
   private _watchEngine (): void {
     if (this._stopped) return
     this._slots!.list().then(loaded => {
-      if (loaded !== undefined) this._desk.slotsListed(loaded)
+      if (loaded !== undefined) this._dispatcher.slotsListed(loaded)
       this._options.clock.after(listIntervalMs, () => this._watchEngine())
     }, () => {})
   }
@@ -239,13 +240,13 @@
     const drained = this._upstream()?.drained === true
     const next: SidecarState = this._shuttingDown || drained || this._fence.superseded
       ? 'leaving'
-      : this._warm && this._upstream() !== undefined ? 'serving' : 'cold'
+      : this._isReady && this._upstream() !== undefined ? 'serving' : 'cold'
     if (next === this._state) return
     this._state = next
     this._options.log.info('sidecar', 'state changed.', { state: next })
     this._options.events.add('drain', { upstream: this._options.upstream, note: next })
-    if (next === 'leaving') this._desk.leave()
-    else this._desk.resumeAccepting()
+    if (next === 'leaving') this._dispatcher.leave()
+    else this._dispatcher.resumeAccepting()
     this._reporter.send()
   }
 
@@ -253,24 +254,24 @@
     let session: EntrySession | undefined
     return {
       frame: frame => {
-        if (session !== undefined) return this._frame(session, connection, frame)
-        if (frame.body?.$case === 'hello') session = this._hello(connection, frame.body.value)
+        if (session !== undefined) return this._handleFrame(session, connection, frame)
+        if (frame.body?.$case === 'hello') session = this._handleHello(connection, frame.body.value)
       },
       closed: () => {
         this._connections.delete(connection)
         this._reporter.forget(connection)
-        if (session !== undefined) this._lost(session, connection)
+        if (session !== undefined) this._connectionLost(session, connection)
       }
     }
   }
 
-  private _hello (connection: Connection, hello: Hello): EntrySession {
+  private _handleHello (connection: Connection, hello: Hello): EntrySession {
     const known = this._sessions.get(hello.incarnation)
     const session = known ?? new EntrySession(hello.entry, hello.incarnation)
     this._sessions.set(hello.incarnation, session)
     this._connections.set(connection, session)
     session.attach(connection)
-    const open = this._desk.reconcile(session, hello)
+    const open = this._dispatcher.reconcile(session, hello)
     this._options.events.add('channel-open', { peer: hello.entry, upstream: this._options.upstream })
     connection.send({
       body: {
@@ -288,34 +289,34 @@
       }
     })
     for (const { seq, received } of hello.open) session.runs.get(seq)?.replay(received)
-    this._offerConfig(connection, hello.revision)
+    this._sendConfigIfNewer(connection, hello.revision)
     return session
   }
 
-  private _lost (session: EntrySession, connection: Connection): void {
+  private _connectionLost (session: EntrySession, connection: Connection): void {
     const { clock, events, upstream } = this._options
     if (!session.detach(connection)) return
     events.add('channel-lost', { peer: session.entry, upstream })
     clock.after(sessionGraceMs, () => {
-      if (!session.connected) this._desk.abandon(session)
+      if (!session.connected) this._dispatcher.abandon(session)
     })
     clock.after(sessionKeepMs, () => {
       if (!session.connected) this._sessions.delete(session.incarnation)
     })
   }
 
-  private _frame (session: EntrySession, connection: Connection, frame: EntryFrame): void {
+  private _handleFrame (session: EntrySession, connection: Connection, frame: EntryFrame): void {
     const { body } = frame
     switch (body?.$case) {
-      case 'request': return this._desk.receiveRequest(session, body.value, this._refusal(body.value))
-      case 'withdraw': return this._desk.withdraw(session, body.value)
+      case 'request': return this._dispatcher.receiveRequest(session, body.value, this._refusal(body.value))
+      case 'withdraw': return this._dispatcher.withdraw(session, body.value)
       case 'ack': {
         const run = session.runs.get(body.value.seq)
         if (body.value.done) session.runs.delete(body.value.seq)
         else run?.confirm(body.value.received)
         return
       }
-      case 'heartbeat': return this._offerConfig(connection, body.value.revision)
+      case 'heartbeat': return this._sendConfigIfNewer(connection, body.value.revision)
       case 'config':
         this.config.offer(body.value as ConfigDocument, session.entry)
         break
@@ -324,36 +325,36 @@
     }
   }
 
-  /** What this sidecar refuses before the plan sees it. */
+  /** Failure of a request that is refused before it reaches the plan; undefined when the sidecar serves. */
   private _refusal (request: Request): Failure | undefined {
     if (this._state === 'serving') return undefined
     const code = this._state === 'leaving' ? 'leaving' : 'cold'
-    return failure('not-run', code, `The upstream is ${this._state}. Another one may take the request.`, request.idempotent ? 100 : 500)
+    return failure('not-run', code, `The upstream is ${this._state}. Another upstream may accept the request.`, request.idempotent ? 100 : 500)
   }
 
-  /** Hands a newer configuration to a peer that lags. */
-  private _offerConfig (connection: Connection, revision: number): void {
+  /** Sends the configuration to an entry that has an older revision. */
+  private _sendConfigIfNewer (connection: Connection, revision: number): void {
     const { document } = this.config
     if (document === undefined || revision >= document.revision) return
     connection.send({ body: { $case: 'config', value: toWireDocument(document) } })
   }
 
-  private _beat (): void {
+  private _heartbeat (): void {
     if (this._stopped) return
-    this._noticePause()
+    this._detectPause()
     this._updateState()
     this._reporter.send()
-    this._options.clock.after(this._options.heartbeatMs ?? defaultHeartbeatMs, () => this._beat())
+    this._options.clock.after(this._options.heartbeatMs ?? defaultHeartbeatMs, () => this._heartbeat())
   }
 
-  /** A gap between two beats far over the interval means that the process was paused. */
-  private _noticePause (): void {
+  /** Reports a pause of the process: two heartbeats were further apart than the lease lasts. */
+  private _detectPause (): void {
     const { clock, events, leaseMs, log } = this._options
     const now = clock.now()
-    if (now - this._lastTick > leaseMs) {
-      log.warn('sidecar', 'process was paused.', { ms: Math.round(now - this._lastTick) })
-      events.add('process', { note: `paused ${Math.round(now - this._lastTick)} ms` })
+    if (now - this._lastBeatAt > leaseMs) {
+      log.warn('sidecar', 'process was paused.', { ms: Math.round(now - this._lastBeatAt) })
+      events.add('process', { note: `paused ${Math.round(now - this._lastBeatAt)} ms` })
     }
-    this._lastTick = now
+    this._lastBeatAt = now
   }
 }
