--- a/packages/sidecar/src/lib/upstream-runner.ts
+++ b/packages/sidecar/src/lib/upstream-runner.ts
@@ -1,5 +1,5 @@
 /**
- * Runs started requests on the upstream.
+ * Sends requests to the upstream and forwards its answers.
  */
 import { adapterKey, callDigest, classRank, type EventRing, failure, type Failure, parseTrafficClass } from '@hazelford/core'
 import type { AnswerHeader, AnswerSink, PlainClient, EngineClient } from '@hazelford/engine'
@@ -7,23 +7,23 @@
 import type { AdapterSlots } from './adapter-slots.js'
 import type { RequestRun } from './request-run.js'
 
-/** How a run came out of the upstream. */
+/** Callbacks that report how a request ended at the upstream. */
 export interface RunnerEvents {
-  /** The request left its place; `ran` when the upstream answered. */
+  /** The request has freed its batch slot; `ran` when the upstream ran it or may have run it. */
   readonly finished: (run: RequestRun, ran: boolean) => void
-  /** The engine lacks the adapter; the request must wait for a load again. */
+  /** The engine does not have the adapter; the request must wait for another load. */
   readonly notLoaded: (run: RequestRun) => void
-  /** The upstream has ended while it had the request, before any of its answer. */
+  /** The upstream terminated while running the request, before it sent any of the answer. */
   readonly endedUnder: (run: RequestRun) => void
 }
 
-/** Starts requests of one kind. */
+/** Runs requests of one kind of upstream. */
 export interface UpstreamRunner {
   readonly start: (run: RequestRun) => void
 }
 
-/** Sink that passes an answer to the entry. */
-function passOn (run: RequestRun, events: RunnerEvents): AnswerSink {
+/** Creates a sink that forwards an answer to the entry. */
+function createForwardingSink (run: RequestRun, events: RunnerEvents): AnswerSink {
   return {
     head: (status, headers) => run.head(status, headers),
     data: data => run.data(data),
@@ -39,24 +39,24 @@
   }
 }
 
-/** Whether an answer was lost after its call had been sent. */
-function isLost ({ code }: Failure): boolean { return code === 'upstream-lost' || code === 'stream-incomplete' }
+/** Whether the answer was lost after the call had been sent. */
+function wasLostAfterSending ({ code }: Failure): boolean { return code === 'upstream-lost' || code === 'stream-incomplete' }
 
 /**
- * Whether an engine has ended since a request began there. What a request uses is not unloaded under it: an engine that lacks it
- * has started again. Asked before the request gives its adapter free, after which it may be unloaded.
+ * Whether an engine has terminated since a request started there. An adapter is not unloaded while a request uses it, so an
+ * engine that no longer has it was restarted. Called before the request releases the adapter, which may be unloaded after that.
  */
-async function hasEnded (engine: EngineClient, engineName: string): Promise<boolean> {
+async function hasTerminated (engine: EngineClient, engineName: string): Promise<boolean> {
   const listing = await engine.list()
   return listing.isErr() || !listing.value.names.includes(engineName)
 }
 
 /**
- * Runs completions.
+ * Creates the runner of completions.
  *
- * @param engine - the model engine
- * @param slots - engine-side names
- * @param events - how runs end
+ * @param engine - client of the model engine
+ * @param slots - gives the engine-side names of loaded adapters
+ * @param events - notified when a run ends
  */
 export function createModelRunner (engine: EngineClient, slots: AdapterSlots, events: RunnerEvents): UpstreamRunner {
   return {
@@ -66,10 +66,10 @@
       const engineName = slots.nameOf(adapter)
       if (engineName === undefined) return events.notLoaded(run)
       run.state = 'running'
-      const sink = passOn(run, events)
+      const sink = createForwardingSink(run, events)
       const fail = (cause: Failure): void => {
-        if (isLost(cause) && !run.hasAnswered) {
-          hasEnded(engine, engineName).then(ended => { if (ended) events.endedUnder(run) }, () => {})
+        if (wasLostAfterSending(cause) && !run.hasAnswered) {
+          hasTerminated(engine, engineName).then(ended => { if (ended) events.endedUnder(run) }, () => {})
         }
         sink.fail(cause)
       }
@@ -85,10 +85,10 @@
   }
 }
 
-const retryWhileRunning = 1_000
-const retryWhileDown = 2_000
+const retryAfterWhileRunning = 1_000
+const retryAfterWhileDown = 2_000
 
-/** Passes an answer on and keeps it for repeats of its key. */
+/** Collects the answer to a call with an idempotency key, records it for repeats, then forwards it. */
 class KeyedSink implements AnswerSink {
   private _status = 0
   private _headers: readonly AnswerHeader[] = []
@@ -110,8 +110,8 @@
 
   end = (): void => {
     const answer = keepAnswer(this._status, this._headers, this._chunks)
-    // Recorded before the caller hears of it: a repeat through another sidecar after
-    // this one died must find the answer that the caller was given.
+    // Recorded before the caller receives it: after a crash of this sidecar, a repeat through
+    // another one must find the answer that the caller was given.
     this._claims.settle(this._claim, answer).then(() => {
       this._run.head(this._status, this._headers)
       for (const chunk of this._chunks) this._run.data(chunk)
@@ -130,10 +130,10 @@
   notLoaded = (): void => {}
 }
 
-/** Answers a repeat with the first attempt's answer. */
-function answerAgain (run: RequestRun, answer: KeptAnswer, events: RunnerEvents): void {
+/** Answers a repeated call with the answer of the first attempt. */
+function replayAnswer (run: RequestRun, answer: KeptAnswer, events: RunnerEvents): void {
   if (answer.body === undefined) {
-    run.end(failure('may-have-run', 'first-attempt-unknown', 'The first attempt ran, but its answer was too large to keep.'))
+    run.end(failure('may-have-run', 'first-attempt-unknown', 'The first attempt ran, but its answer was too large to store.'))
   } else {
     run.head(answer.status, [...answer.headers, { name: 'idempotency-replayed', value: 'true' }])
     run.data(Buffer.from(answer.body, 'base64'))
@@ -143,12 +143,12 @@
 }
 
 /**
- * Runs calls of a plain service.
+ * Creates the runner of calls to a plain service.
  *
- * @param plain - the service
- * @param claims - of this sidecar
- * @param events - how runs end
- * @param timeline - for the time line
+ * @param plain - client of the service
+ * @param claims - claims on idempotency keys
+ * @param events - notified when a run ends
+ * @param timeline - records the outcomes of claims
  */
 export function createPlainRunner (plain: PlainClient, claims: Claims, events: RunnerEvents, timeline: EventRing): UpstreamRunner {
   const callOf = (run: RequestRun): Parameters<PlainClient['call']>[0] => {
@@ -168,7 +168,7 @@
     timeline.add('claim', { request: run.request.id, note: outcome.kind })
     switch (outcome.kind) {
       case 'taken':
-        // Withdrawn while the claim was on its way: nothing has run, and the key is free again.
+        // Withdrawn while the key was being claimed: the call has not run, so the key is released.
         if (run.isWithdrawn) {
           claims.release(outcome.claim)
           return fail(run, failure('not-run', 'withdrawn', 'The request was withdrawn before it ran.'))
@@ -177,20 +177,20 @@
         run.handle = plain.call(callOf(run), new KeyedSink(run, claims, outcome.claim, events))
         return
       case 'answered':
-        return answerAgain(run, outcome.answer, events)
+        return replayAnswer(run, outcome.answer, events)
       case 'running-here': {
         const answer = await outcome.answer
-        if (answer !== undefined) return answerAgain(run, answer, events)
-        return fail(run, failure('may-have-run', 'first-attempt-unknown', 'The first attempt with this key began and its end is not known. Ask the service itself.'))
+        if (answer !== undefined) return replayAnswer(run, answer, events)
+        return fail(run, failure('may-have-run', 'first-attempt-unknown', 'The first attempt with this key began and its outcome is unknown. Ask the service itself.'))
       }
       case 'running-elsewhere':
-        return fail(run, failure('may-have-run', 'key-in-use', `The first attempt with this key runs at ${outcome.sidecar}. Repeat with the same key to get its answer.`, retryWhileRunning))
+        return fail(run, failure('may-have-run', 'key-in-use', `The first attempt with this key runs at ${outcome.sidecar}. Repeat with the same key to get its answer.`, retryAfterWhileRunning))
       case 'outcome-unknown':
-        return fail(run, failure('may-have-run', 'first-attempt-unknown', 'The first attempt with this key began and its end is not known. Ask the service itself.'))
+        return fail(run, failure('may-have-run', 'first-attempt-unknown', 'The first attempt with this key began and its outcome is unknown. Ask the service itself.'))
       case 'other-call':
         return fail(run, failure('not-run', 'key-in-use', 'This Idempotency-Key was used for a different call. Use a new key.'))
       case 'unavailable':
-        return fail(run, failure('not-run', 'claims-unavailable', 'Idempotency keys can not be recorded now. Repeat with the same key later.', retryWhileDown))
+        return fail(run, failure('not-run', 'claims-unavailable', 'Idempotency keys can not be recorded now. Repeat with the same key later.', retryAfterWhileDown))
     }
   }
 
@@ -201,7 +201,7 @@
         return
       }
       run.state = 'running'
-      run.handle = plain.call(callOf(run), passOn(run, events))
+      run.handle = plain.call(callOf(run), createForwardingSink(run, events))
     }
   }
 }
