--- a/packages/sidecar/src/test/claims.feature
+++ b/packages/sidecar/src/test/claims.feature
@@ -1,7 +1,7 @@
-Feature: a keyed booking runs once, whichever sidecars get it
-  Symptom: the nurse repeats with the same key and two chairs are booked.
-  Events: a write's reply is lost, a write takes effect late, the key-value service is down, a sidecar is paused or restarts.
-  Cause: two sidecars each believed that the key was theirs.
+Feature: a call with an idempotency key runs once, whichever sidecars receive it
+  Guards against a repeated call that runs twice, such as a booking that a caller repeats with the same key.
+  It happens when two sidecars each believe that they hold the key, since the reply to a write was lost, a write took
+  effect late, the key-value service was down, or a sidecar was paused or restarted.
 
   Scenario: any interleaving of sidecars and faults
     Given three sidecars that claim the same key while calls are lost, late or refused
@@ -15,8 +15,8 @@
     Given a sidecar that can't reach the key-value service
     Then the call is refused as not run and the key is free once the service is back
 
-  Scenario: a claim that took effect after its caller was told that it did not run
-    Given a claim that is still on its way when the call is refused
+  Scenario: a claim that took effect after its caller was refused
+    Given a claim whose write is still in flight when the call is refused
     When it takes effect later
     Then the sidecar removes it and another sidecar can run the call
 
@@ -24,14 +24,14 @@
     Given a call that ran and was answered through one sidecar
     Then a repeat through another sidecar gets the same answer
 
-  Scenario: a repeat after the first sidecar restarted in the middle
+  Scenario: a repeat after the first sidecar restarted during the call
     Given a call that one sidecar began before it restarted
-    Then a repeat there is told that the outcome is unknown and does not run
+    Then a repeat at this sidecar does not run, since the outcome is unknown
 
   Scenario: a removal that arrives late
-    Given a released claim whose removal is still on its way
-    When another sidecar claims the key and then the removal arrives
-    Then the other sidecar's claim still stands
+    Given a released claim whose removal is still in flight
+    When another sidecar claims the key and then the removal takes effect
+    Then the other sidecar's claim is still stored
 
   Scenario: one key for two different calls
     Given a call that ran and was answered through one sidecar
--- a/packages/sidecar/src/test/claims.steps.ts
+++ b/packages/sidecar/src/test/claims.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Failure tests of claims on idempotency keys.
+ * Step definitions for failure tests of claims on idempotency keys.
  */
 import assert from 'node:assert/strict'
 import { Given, Then, When } from '@cucumber/cucumber'
@@ -23,7 +23,7 @@
 let kv: FakeKv
 let outcome: ClaimOutcome
 
-/** Moves the clock until cleaning and recording have had their tries. */
+/** Advances the clock until the retries of removing and recording have run. */
 async function passTime (): Promise<void> {
   for (let i = 0; i < 12; i++) {
     clock.advance(600)
@@ -83,7 +83,7 @@
   assert.equal((await claims.claim(key, digest)).kind, 'taken')
 })
 
-Given('a claim that is still on its way when the call is refused', async () => {
+Given('a claim whose write is still in flight when the call is refused', async () => {
   kv = new FakeKv()
   let calls = 0
   const fault = (): KvFault => ++calls <= 2 ? 'late' : 'none'
@@ -127,11 +127,11 @@
   assert.equal(outcome.kind, 'taken')
 })
 
-Then('a repeat there is told that the outcome is unknown and does not run', async () => {
+Then('a repeat at this sidecar does not run, since the outcome is unknown', async () => {
   assert.equal((await claimsOf(kv.client(noFault), 's1', 'after').claim(key, digest)).kind, 'outcome-unknown')
 })
 
-Given('a released claim whose removal is still on its way', async () => {
+Given('a released claim whose removal is still in flight', async () => {
   kv = new FakeKv()
   let removals = 0
   const fault = (call: string): KvFault => call === 'remove' && ++removals === 1 ? 'late' : 'none'
@@ -143,12 +143,12 @@
   assert.equal(kv.data.size, 0, 'the second removal took effect')
 })
 
-When('another sidecar claims the key and then the removal arrives', async () => {
+When('another sidecar claims the key and then the removal takes effect', async () => {
   outcome = await claimsOf(kv.client(noFault), 's2').claim(key, digest)
   kv.applyLate()
 })
 
-Then('the other sidecar\'s claim still stands', () => {
+Then('the other sidecar\'s claim is still stored', () => {
   assert.equal(outcome.kind, 'taken')
   assert.equal(kv.data.size, 1)
 })
--- a/packages/sidecar/src/test/fence.feature
+++ b/packages/sidecar/src/test/fence.feature
@@ -1,16 +1,16 @@
-Feature: only the newest sidecar orders an engine
-  Symptom: an adapter disappears under requests of the sidecar that is in charge.
-  Events: a sidecar is paused for longer than its lease, a successor takes over, the first wakes up and orders an unload.
-  Cause: the holder trusted a check that it made before the pause.
+Feature: only the newest sidecar sends load and unload orders to an engine
+  Guards against an adapter that is unloaded while requests of the newest sidecar use it.
+  It happens when a sidecar is paused for longer than its lease, a successor takes over, and the first resumes and sends
+  an unload order because it relies on a check from before the pause.
 
   Scenario: a holder that was paused
-    Given a sidecar that holds a number and a successor that takes the next one
-    Then the first is told that it is superseded once its check has run out
+    Given a sidecar that holds a fencing number and a successor that acquires the next one
+    Then the first finds that it is superseded once its check has expired
 
   Scenario: numbers are never used twice, also when replies are lost
-    Given any sidecars that take numbers while replies to writes are lost
+    Given several sidecars that acquire fencing numbers while replies to writes are lost
     Then no two of them hold the same number
 
   Scenario: the key-value service is down
-    Given a sidecar that holds a number when the service goes down
-    Then it goes on with unverified orders and loses none of its adapters
+    Given a sidecar that holds a fencing number when the service goes down
+    Then it continues with unverified orders, keeps its number and is not superseded
--- a/packages/sidecar/src/test/fence.steps.ts
+++ b/packages/sidecar/src/test/fence.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Failure tests of fencing numbers.
+ * Step definitions for failure tests of fencing numbers.
  */
 import assert from 'node:assert/strict'
 import { Given, Then } from '@cucumber/cucumber'
@@ -21,7 +21,7 @@
 let clock: FakeClock
 let fence: Fence
 
-Given('a sidecar that holds a number and a successor that takes the next one', async () => {
+Given('a sidecar that holds a fencing number and a successor that acquires the next one', async () => {
   const kv = new FakeKv()
   clock = new FakeClock()
   fence = fenceOf(kv.client(noFault), clock, 'first')
@@ -29,7 +29,7 @@
   await fenceOf(kv.client(noFault), clock, 'second').acquire(running)
 })
 
-Then('the first is told that it is superseded once its check has run out', async () => {
+Then('the first finds that it is superseded once its check has expired', async () => {
   assert.equal(await fence.check(), 'held')
   clock.advance(leaseMs)
   assert.equal(await fence.check(), 'superseded')
@@ -38,7 +38,7 @@
 
 let faults: fc.Arbitrary<KvFault[]>
 
-Given('any sidecars that take numbers while replies to writes are lost', () => {
+Given('several sidecars that acquire fencing numbers while replies to writes are lost', () => {
   faults = fc.array(fc.constantFrom<KvFault>('none', 'lost-reply', 'late', 'refused'), { maxLength: 20 })
 })
 
@@ -66,7 +66,7 @@
 
 let down: boolean
 
-Given('a sidecar that holds a number when the service goes down', async () => {
+Given('a sidecar that holds a fencing number when the service goes down', async () => {
   const kv = new FakeKv()
   clock = new FakeClock()
   down = false
@@ -76,7 +76,7 @@
   clock.advance(10 * leaseMs)
 })
 
-Then('it goes on with unverified orders and loses none of its adapters', async () => {
+Then('it continues with unverified orders, keeps its number and is not superseded', async () => {
   assert.equal(await fence.check(), 'unverified')
   assert.equal(fence.superseded, false)
   assert.equal(fence.number, 1)
