--- a/packages/sidecar/src/test/load-permits.steps.ts
+++ b/packages/sidecar/src/test/load-permits.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Failure tests of load permits.
+ * Step definitions for failure tests of load permits.
  */
 import assert from 'node:assert/strict'
 import { Given, Then } from '@cucumber/cucumber'
@@ -25,7 +25,7 @@
 let most: number
 let loaded: number
 
-Given('ten sidecars that want to load at the same time from a store that serves two', async () => {
+Given('ten sidecars that need to load at the same time from a store that serves two loads at once', async () => {
   clock = new FakeClock()
   kv = new FakeKv()
   most = 0
@@ -44,7 +44,7 @@
   await passTime(20_000)
 })
 
-Then('at most two load at any time and all have loaded in the end', () => {
+Then('at most two load at any time and all loads complete', () => {
   assert.equal(most, 2)
   assert.equal(loaded, 10)
 })
@@ -56,13 +56,13 @@
   kv = new FakeKv()
   takenAt = 0
   const limits = { atOnce: 1, perSecond: 100, sharers: 2 }
-  // A clock that stands still: a dead process renews nothing.
+  // A clock that does not advance: a dead process renews no permit.
   await permitsOf('dead', limits, () => 'none', new FakeClock()).acquire(() => 0)
   permitsOf('other', limits).acquire(() => 0).then(() => { takenAt = clock.now() }, () => {})
   await passTime(25_000)
 })
 
-Then('another gets it after the permit has run out', () => {
+Then('another sidecar gets a permit after the first has expired', () => {
   assert.ok(takenAt >= 3_000 && takenAt < 6_000, `taken after ${takenAt} ms`)
 })
 
@@ -77,7 +77,7 @@
   await passTime(15_000)
 })
 
-Then('nobody else gets its permit meanwhile', () => {
+Then('no other sidecar gets its permit meanwhile', () => {
   assert.ok(takenAt >= 10_000 && takenAt < 13_000, `taken after ${takenAt} ms`)
 })
 
@@ -102,7 +102,7 @@
   await passTime(12_000)
 })
 
-Then('together they begin at most four loads in any second after their first', () => {
+Then('together they start at most four loads in any second after their first', () => {
   assert.equal(begun.length, 40)
   for (const at of begun) {
     const within = begun.filter(other => other >= at && other < at + 1_000).length
@@ -127,7 +127,7 @@
   await passTime(20_000)
 })
 
-Then('it comes to use most of the store\'s rate', () => {
+Then('it uses most of the store\'s rate after ten seconds', () => {
   const lastSeconds = begun.filter(at => at >= 10_000 && at < 15_000).length / 5
   assert.ok(lastSeconds >= 3, `${lastSeconds} loads a second`)
 })
--- a/packages/sidecar/src/test/support/fake-kv.ts
+++ b/packages/sidecar/src/test/support/fake-kv.ts
@@ -1,17 +1,17 @@
 /**
- * A key-value service in memory, whose calls a test can delay, lose or refuse.
+ * An in-memory key-value service whose calls a test can delay, lose or refuse.
  */
 import { errAsync, ResultAsync } from 'neverthrow'
 import type { CasOutcome, KvClient, KvEntry, KvFailure, KvRead } from '@hazelford/consul'
 
-/** What happens to one call. */
+/** Fault injected into one call. */
 export type KvFault =
   | 'none'
-  /** Refused before it was sent. */
+  /** Refused before it is sent. */
   | 'refused'
   /** Takes effect; the reply is lost. */
   | 'lost-reply'
-  /** Neither takes effect nor is answered, as far as the caller knows; a write takes effect later. */
+  /** No reply, and no effect yet; a write takes effect when {@link FakeKv.applyLate} is called. */
   | 'late'
 
 interface Stored { readonly value: string, readonly modifyIndex: number }
@@ -19,7 +19,7 @@
 const lost: KvFailure = { kind: 'unknown', message: 'no reply' }
 const refused: KvFailure = { kind: 'not-applied', message: 'refused' }
 
-/** The fake service. Each sidecar of a test gets a client of its own by {@link FakeKv.client}. */
+/** The fake service. {@link FakeKv.client} creates a client for each sidecar of a test. */
 export class FakeKv {
   readonly data = new Map<string, Stored>()
   /** Writes that will take effect when {@link FakeKv.applyLate} is called. */
@@ -27,7 +27,7 @@
   private _index = 1
   writes = 0
 
-  /** Applies writes that were on their way. */
+  /** Applies the delayed writes. */
   applyLate (): void {
     const late = this._late
     this._late = []
@@ -35,10 +35,10 @@
   }
 
   /**
-   * A client.
+   * Creates a client.
    *
-   * @param fault - asked for each call
-   * @param turn - awaited before a call takes effect and before its reply, to interleave
+   * @param fault - returns the fault of each call
+   * @param turn - awaited before a call takes effect and before its reply, to interleave calls
    */
   client (fault: (call: 'read' | 'cas' | 'remove') => KvFault, turn: () => Promise<void> = () => Promise.resolve()): KvClient {
     const run = <T>(call: 'read' | 'cas' | 'remove', apply: () => T): ResultAsync<T, KvFailure> => {
@@ -87,7 +87,7 @@
   }
 }
 
-/** Lets promises that are ready go on. */
+/** Runs pending microtasks, so that resolved promises continue. */
 export async function flushMicrotasks (rounds = 50): Promise<void> {
   for (let i = 0; i < rounds; i++) await Promise.resolve()
 }
