--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' side: HTTP interface, routing, retries and deadlines.
+ * The entry: HTTP interface for callers, routing, retries and deadlines.
  *
  * @packageDocumentation
  */
--- a/packages/entry/src/lib/answer-receiver.ts
+++ b/packages/entry/src/lib/answer-receiver.ts
@@ -1,21 +1,21 @@
 /**
- * How an attempt's answer reaches the request it belongs to.
+ * Interfaces between a request and its attempts over a channel.
  */
 import type { AnswerHead, AttemptEnd } from '@hazelford/decisions'
 
-/** Takes an answer in order. Nothing is called before the attempt's `send` returns. */
+/** Receives an answer in order. No method is called before the `send` of the attempt has returned. */
 export interface AnswerReceiver {
   readonly head: (head: AnswerHead) => void
   readonly chunk: (data: Uint8Array) => void
   readonly end: (end: AttemptEnd) => void
 }
 
-/** Steers an attempt. */
+/** Controls an attempt. */
 export interface Attempt {
-  /** Asks the sidecar to give it up; its answer tells whether it had begun. */
+  /** Asks the sidecar to withdraw the request; the end frame states whether it had begun to run. */
   readonly withdraw: (reason: 'deadline' | 'caller-gone') => void
-  /** So many chunks have gone to the caller. */
+  /** Acknowledges chunks: `received` is the number that have been sent to the caller. */
   readonly confirm: (received: number) => void
-  /** Nothing more is wanted. */
+  /** Closes the attempt; the receiver is not called any more. */
   readonly close: () => void
 }
--- a/packages/entry/src/lib/call-reader.ts
+++ b/packages/entry/src/lib/call-reader.ts
@@ -1,12 +1,12 @@
 /**
- * Reads a caller's request and checks it before anything is done.
+ * Reads and validates a caller's request before it is routed.
  */
 import type { IncomingMessage } from 'node:http'
 import { type AdapterRef, classRank, failure, type Failure, parseModel, parseTrafficClass, type TrafficClass } from '@hazelford/core'
 import { type Config, findAdapter, isIdempotentCall, type Service } from '@hazelford/config'
 import { err, ok, type Result } from 'neverthrow'
 
-/** A checked request. */
+/** A validated request of a caller. */
 export interface Call {
   readonly service: Service
   readonly adapter: AdapterRef | undefined
@@ -15,7 +15,7 @@
   readonly idempotencyKey: string
   readonly deadlineMs: number
   readonly method: string
-  /** Path at the upstream. */
+  /** Path and query at the upstream. */
   readonly path: string
   readonly headers: readonly { readonly name: string, readonly value: string }[]
   readonly body: Buffer
@@ -24,8 +24,8 @@
 
 const maxKeyLength = 255
 
-/** Headers that callers may not hand to upstreams, besides those of the connection. */
-const keptBack: ReadonlySet<string> = new Set([
+/** Headers of callers that are not forwarded to upstreams, besides those that the Connection header names. */
+const unforwardedHeaders: ReadonlySet<string> = new Set([
   'connection', 'keep-alive', 'proxy-authenticate', 'proxy-authorization', 'proxy-connection', 'te', 'trailer',
   'transfer-encoding', 'upgrade', 'host', 'content-length', 'expect', 'x-fencing-number', 'x-request-id'
 ])
@@ -35,11 +35,11 @@
 }
 
 /**
- * Reads a body.
+ * Reads a request body.
  *
  * @param req - the raw request
- * @param limit - bytes
- * @returns the body, or a failure as soon as it is too large
+ * @param limit - largest size in bytes
+ * @returns the body, or a failure as soon as it exceeds the limit
  */
 export function readBody (req: IncomingMessage, limit: number): Promise<Result<Buffer, Failure>> {
   const tooLarge = refuse('too-large', `The body exceeds ${limit} bytes. Send less, or ask the operators to raise max_body_bytes.`)
@@ -70,9 +70,9 @@
 function readClass (req: IncomingMessage, service: Service): Result<TrafficClass, Failure> {
   const text = req.headers['x-hazelford-class']
   if (text === undefined) return ok(service.trafficClass)
-  const asked = parseTrafficClass(String(text))
-  if (asked === undefined) return refuse('bad-request', `x-hazelford-class must be receipt, booking, interactive or draft, not "${String(text)}".`)
-  return ok(classRank(asked) < classRank(service.highestClass) ? service.highestClass : asked)
+  const requested = parseTrafficClass(String(text))
+  if (requested === undefined) return refuse('bad-request', `x-hazelford-class must be receipt, booking, interactive or draft, not "${String(text)}".`)
+  return ok(classRank(requested) < classRank(service.highestClass) ? service.highestClass : requested)
 }
 
 function readKey (req: IncomingMessage): Result<string, Failure> {
@@ -83,9 +83,9 @@
   return ok(key)
 }
 
-type Common = Pick<Call, 'trafficClass' | 'deadlineMs' | 'idempotencyKey'>
+type CommonFields = Pick<Call, 'trafficClass' | 'deadlineMs' | 'idempotencyKey'>
 
-function readCommon (req: IncomingMessage, service: Service): Result<Common, Failure> {
+function readCommon (req: IncomingMessage, service: Service): Result<CommonFields, Failure> {
   return readDeadline(req, service).andThen(deadlineMs =>
     readClass(req, service).andThen(trafficClass =>
       readKey(req).map(idempotencyKey => ({ deadlineMs, trafficClass, idempotencyKey }))))
@@ -107,12 +107,12 @@
 }
 
 /**
- * Reads a completion.
+ * Reads a completion request.
  *
- * @param req - for its headers
+ * @param req - the raw request, for its headers
  * @param path - path at the engine
- * @param body - JSON
- * @param config - in force
+ * @param body - the JSON body
+ * @param config - configuration in force
  */
 export function readCompletion (req: IncomingMessage, path: string, body: Buffer, config: Config): Result<Call, Failure> {
   return readModelBody(body).andThen(({ model, stream }) => {
@@ -128,24 +128,24 @@
   })
 }
 
-function passedHeaders (req: IncomingMessage): Call['headers'] {
+function forwardedHeaders (req: IncomingMessage): Call['headers'] {
   const named = String(req.headers.connection ?? '').toLowerCase().split(/\s*,\s*/)
   const passed: { name: string, value: string }[] = []
   for (const [name, value] of Object.entries(req.headers)) {
-    if (value === undefined || keptBack.has(name) || named.includes(name) || name.startsWith('x-hazelford-')) continue
+    if (value === undefined || unforwardedHeaders.has(name) || named.includes(name) || name.startsWith('x-hazelford-')) continue
     passed.push({ name, value: Array.isArray(value) ? value.join(', ') : value })
   }
   return passed
 }
 
 /**
- * Reads a call of a plain service.
+ * Reads a call to a plain service.
  *
- * @param req - method and headers
- * @param name - the service
+ * @param req - the raw request, for its method and headers
+ * @param name - name of the service
  * @param path - path and query at the service
- * @param body - as sent
- * @param config - in force
+ * @param body - body as sent
+ * @param config - configuration in force
  */
 export function readPlainCall (req: IncomingMessage, name: string, path: string, body: Buffer, config: Config): Result<Call, Failure> {
   const service = config.services.get(name)
@@ -153,9 +153,9 @@
     return refuse('unknown-service', `No plain service "${name}" is configured.`)
   }
   const method = req.method ?? 'GET'
-  // The service's own word and the caller's: the safer of the two counts.
+  // A call is idempotent only if the service's configuration says so and the caller does not deny it.
   const idempotent = isIdempotentCall(service, method, path) && req.headers['x-hazelford-idempotent'] !== 'false'
   return readCommon(req, service).map(common => ({
-    ...common, service, adapter: undefined, idempotent, method, path, headers: passedHeaders(req), body, streamed: false
+    ...common, service, adapter: undefined, idempotent, method, path, headers: forwardedHeaders(req), body, streamed: false
   }))
 }
