--- a/packages/entry/src/lib/caller-response.ts
+++ b/packages/entry/src/lib/caller-response.ts
@@ -1,5 +1,5 @@
 /**
- * The response to one caller: status, body in order, and errors that say whether the
+ * The response to one caller: status, headers, body, and errors that state whether the
  * request may have run.
  */
 import type { ServerResponse } from 'node:http'
@@ -11,10 +11,10 @@
 /**
  * HTTP status of a failure.
  *
- * `not-run` is 503 with `Retry-After`; `may-have-run` is never 503, since clients
- * repeat a 503 without asking.
+ * `not-run` is 503 with `Retry-After` unless the code has a status of its own;
+ * `may-have-run` is never 503, since clients repeat a 503 automatically.
  *
- * @param cause - what the caller is told
+ * @param cause - the failure that the caller receives
  */
 export function statusOf (cause: Failure): number {
   switch (cause.code) {
@@ -34,7 +34,7 @@
   return JSON.stringify({ error: { message, type: 'hazelford_error', code, verdict, request_id: requestId, retry_after_ms: retryAfter } })
 }
 
-/** Writes one response. */
+/** Writes the response to one caller. */
 export class CallerResponse {
   private _written = 0
   private _flushed = 0
@@ -42,10 +42,10 @@
 
   /**
    * @param _res - the raw response
-   * @param requestId - shown to the caller
-   * @param _flushedTo - hears how many chunks the caller's connection has taken
+   * @param requestId - sent to the caller as `x-request-id`
+   * @param _onFlushed - receives the number of chunks that the caller's connection has accepted
    */
-  constructor (private readonly _res: ServerResponse, readonly requestId: string, private readonly _flushedTo: (chunks: number) => void) {
+  constructor (private readonly _res: ServerResponse, readonly requestId: string, private readonly _onFlushed: (chunks: number) => void) {
     _res.on('drain', () => this._flush())
   }
 
@@ -68,7 +68,7 @@
 
   end (): void { this._res.end() }
 
-  /** Answers with an error; nothing was sent before. */
+  /** Answers with an error, when no part of an answer has been sent. */
   fail (cause: Failure): void {
     const body = errorBody(cause, this.requestId)
     const headers: Record<string, string | number> = {
@@ -82,8 +82,8 @@
   }
 
   /**
-   * Breaks an answer that has begun. The connection is cut without the closing chunk,
-   * so that no client can take the part it has for the whole.
+   * Breaks off an answer that has begun. The connection is destroyed without the terminating
+   * chunk, so that no client can take the partial answer for a complete one.
    */
   break (cause: Failure): void {
     if (!this._streamed) {
@@ -100,6 +100,6 @@
   private _flush (): void {
     if (this._flushed === this._written) return
     this._flushed = this._written
-    this._flushedTo(this._flushed)
+    this._onFlushed(this._flushed)
   }
 }
--- a/packages/entry/src/lib/entry-options.ts
+++ b/packages/entry/src/lib/entry-options.ts
@@ -1,16 +1,16 @@
 /**
- * What an entry is built from.
+ * Options of an entry.
  */
 import type { Clock, EventRing, HybridClock, Log, Ms } from '@hazelford/core'
 import type { HostListClient, KvClient } from '@hazelford/consul'
 
-/** Counts and timings; the daemon sends them on. */
+/** Receives counts and timings; the daemon sends them to StatsD. */
 export interface EntryMeter {
   readonly count: (name: string, by?: number, tags?: Record<string, string>) => void
   readonly timing: (name: string, ms: Ms, tags?: Record<string, string>) => void
 }
 
-/** Everything an entry works with. Tests replace the clients by fakes. */
+/** Settings and dependencies of an entry. Tests replace the clients by fakes. */
 export interface EntryOptions {
   readonly name: string
   readonly zone: string
@@ -23,7 +23,7 @@
   readonly meter: EntryMeter
   readonly maxBodyBytes: number
   readonly maxOpenRequests: number
-  /** Ms for which connections are still accepted after readiness went off. */
+  /** How long connections are still accepted after the entry stopped reporting ready, in ms. */
   readonly balancerNoticeMs: Ms
   readonly heartbeatMs?: Ms
 }
