--- a/packages/entry/src/lib/channel-client.ts
+++ b/packages/entry/src/lib/channel-client.ts
@@ -1,5 +1,5 @@
 /**
- * The entry's end of a channel to one sidecar.
+ * Client side of a channel: the connection of an entry to one sidecar.
  */
 import { ChannelCredentials, type ClientDuplexStream } from '@grpc/grpc-js'
 import { type CancelTimer, type Clock, type ConfigDocument, type EventRing, failure, type FailureCode, type HybridClock, type Log, type Ms } from '@hazelford/core'
@@ -8,19 +8,19 @@
 import type { AnswerReceiver, Attempt } from './answer-receiver.js'
 import { creditChunks, OpenAttempt } from './open-attempt.js'
 
-/** A request as the channel sends it; the channel adds number, credit and time left. */
+/** Fields of a request to send; the channel adds sequence number, credit and remaining time. */
 export type RequestFields = Omit<Request, 'seq' | 'credit' | 'deadlineMs'>
 
-/** What a channel tells its entry. */
+/** Callbacks by which a channel notifies its entry. */
 export interface ChannelEvents {
   readonly up: (welcome: Welcome) => void
   readonly heartbeat: (report: SidecarHeartbeat) => void
-  /** No connection, or no word for too long. */
+  /** The connection is lost, or no frame has arrived for four heartbeat intervals. */
   readonly silent: () => void
   readonly config: (doc: ConfigDocument) => void
 }
 
-/** What a channel works with. */
+/** Settings and dependencies of a channel. */
 export interface ChannelOptions {
   readonly entry: string
   readonly incarnation: string
@@ -37,18 +37,18 @@
   readonly credentials?: ChannelCredentials
 }
 
-/** How long an answer that has begun, or a call that must not run twice, waits for a reconnect. */
+/** How long an answer that has begun, or a call that is not idempotent, waits for a reconnect. */
 const resumeGraceMs: Ms = 3_000
 const reconnectBackoff = { base: 50, cap: 1_000 }
 const defaultHeartbeatMs: Ms = 250
-const suspectBeats = 4
-const deadBeats = 20
-/** Chunks passed on before an acknowledgement is due. */
+const suspectAfterBeats = 4
+const disconnectAfterBeats = 20
+/** Chunks forwarded to the caller between two acknowledgements. */
 const ackEvery = creditChunks / 4
 
 type Stream = ClientDuplexStream<EntryBatch, SidecarBatch>
 
-/** One long-lived channel. */
+/** One long-lived channel, which reconnects by itself. */
 export class ChannelClient {
   private readonly _grpc: GrpcClient
   private readonly _open = new Map<number, OpenAttempt>()
@@ -59,31 +59,31 @@
   private _peerIncarnation = ''
   private _seq = 0
   private _failures = 0
-  private _lastHeard: Ms = 0
+  private _lastReceivedAt: Ms = 0
   private _closed = false
   private _grace: CancelTimer | undefined
 
   constructor (private readonly _options: ChannelOptions, private readonly _events: ChannelEvents) {
     this._grpc = new GrpcClient(_options.target, _options.credentials ?? ChannelCredentials.createInsecure(), channelOptions)
     this._connect()
-    this._beat()
+    this._heartbeat()
   }
 
   /** Whether the sidecar has welcomed this entry on the current connection. */
   get connected (): boolean { return this._connected }
 
-  /** How often the sidecar has welcomed this entry. */
+  /** Number of times the sidecar has welcomed this entry. */
   get welcomes (): number { return this._welcomes }
 
-  /** Attempts that wait for their end. */
+  /** Number of attempts that have not ended. */
   get openAttempts (): number { return this._open.size }
 
   /**
    * Sends a request.
    *
    * @param fields - the request
-   * @param deadlineAt - on the entry's clock
-   * @param receiver - hears the answer
+   * @param deadlineAt - deadline on the entry's clock
+   * @param receiver - receives the answer
    */
   send (fields: RequestFields, deadlineAt: Ms, receiver: AnswerReceiver): Attempt {
     const seq = ++this._seq
@@ -103,15 +103,15 @@
     }
   }
 
-  /** Tells the sidecar of a newer configuration. */
+  /** Sends a newer configuration to the sidecar. */
   sendConfig (doc: ConfigDocument): void {
     if (this._connected) this._write({ body: { $case: 'config', value: toWireDocument(doc) } })
   }
 
-  /** Cuts the connection without a word; it comes back by itself. For tests. */
+  /** Breaks the connection without closing it; the channel reconnects by itself. For tests. */
   cut (): void { this._stream?.cancel() }
 
-  /** Closes for good. Attempts still open end as lost. */
+  /** Closes the channel permanently; open attempts fail as `channel-lost`. */
   close (): void {
     this._closed = true
     this._batcher?.close()
@@ -143,50 +143,50 @@
     const batcher = new FrameBatcher<EntryFrame>({ write: frames => stream.write({ hlc: hlc.tick(), frames }) })
     this._batcher = batcher
     stream.on('drain', () => batcher.drained())
-    stream.on('data', (batch: SidecarBatch) => this._batch(batch))
-    stream.on('error', () => this._lost(stream))
-    stream.on('end', () => this._lost(stream))
+    stream.on('data', (batch: SidecarBatch) => this._receiveBatch(batch))
+    stream.on('error', () => this._connectionLost(stream))
+    stream.on('end', () => this._connectionLost(stream))
     const open = [...this._open].map(([seq, attempt]) => ({ seq, received: attempt.received }))
     this._write({ body: { $case: 'hello', value: { entry, incarnation, zone, revision: revision(), open } } })
   }
 
-  private _batch (batch: SidecarBatch): void {
-    this._lastHeard = this._options.clock.now()
+  private _receiveBatch (batch: SidecarBatch): void {
+    this._lastReceivedAt = this._options.clock.now()
     if (batch.hlc !== undefined) this._options.hlc.observe(batch.hlc)
-    for (const frame of batch.frames) this._frame(frame)
+    for (const frame of batch.frames) this._receiveFrame(frame)
   }
 
-  private _frame (frame: SidecarFrame): void {
+  private _receiveFrame (frame: SidecarFrame): void {
     const { body } = frame
     switch (body?.$case) {
       case 'welcome': return this._welcome(body.value)
       case 'head': return this._open.get(body.value.seq)?.receiveHead(body.value)
-      case 'chunks': return this._takeChunks(body.value)
-      case 'end': return this._end(body.value.seq, attempt => attempt.receiveEnd(body.value))
+      case 'chunks': return this._receiveChunks(body.value)
+      case 'end': return this._receiveEnd(body.value.seq, attempt => attempt.receiveEnd(body.value))
       case 'heartbeat':
         if (this._connected) this._events.heartbeat(body.value)
-        this._offerConfig(body.value.revision)
+        this._sendConfigIfNewer(body.value.revision)
         return
       case 'config': return this._events.config(body.value as ConfigDocument)
       case undefined:
     }
   }
 
-  private _takeChunks ({ seqs, indexes, data }: ChunkGroup): void {
+  private _receiveChunks ({ seqs, indexes, data }: ChunkGroup): void {
     for (let i = 0; i < seqs.length; i++) this._open.get(seqs[i]!)?.receiveChunk(indexes[i]!, data[i]!)
   }
 
-  private _end (seq: number, take: (attempt: OpenAttempt) => void): void {
+  private _receiveEnd (seq: number, receive: (attempt: OpenAttempt) => void): void {
     const attempt = this._open.get(seq)
     if (attempt === undefined) {
-      // The request was given up here meanwhile; the sidecar need not keep its answer.
+      // The attempt has been closed here meanwhile; the acknowledgement lets the sidecar discard its answer.
       this._write({ body: { $case: 'ack', value: { seq, received: 0, done: true } } })
       return
     }
-    take(attempt)
+    receive(attempt)
   }
 
-  private _offerConfig (revision: number): void {
+  private _sendConfigIfNewer (revision: number): void {
     const doc = this._options.document()
     if (doc !== undefined && doc.revision > revision) this.sendConfig(doc)
   }
@@ -196,41 +196,41 @@
     this._failures = 0
     this._welcomes++
     this._connected = true
-    this._lastHeard = clock.now()
+    this._lastReceivedAt = clock.now()
     this._grace?.()
     const known = welcome.incarnation === this._peerIncarnation && welcome.resumed
     this._peerIncarnation = welcome.incarnation
     events.add('channel-open', { peer: welcome.sidecar, upstream: welcome.upstream })
     if (known) this._resume(welcome)
-    else this._failOpen('sidecar-restarted', 'The sidecar restarted while it had the request.')
+    else this._failOpen('sidecar-restarted', 'The sidecar restarted while the request was open.')
     this._events.up(welcome)
-    this._offerConfig(welcome.revision)
+    this._sendConfigIfNewer(welcome.revision)
   }
 
   /**
-   * Settles open attempts after a reconnect.
+   * Resumes or fails the open attempts after a reconnect.
    *
-   * The sidecar names the highest request it took. What lies above never reached it
-   * and is sent again; what it still holds goes on from the last chunk. (The idea of a
-   * reconnecting party reporting its highest sequence number, so that the rest can be
-   * replayed, is StarFish's: Gabber et al., USENIX 2003.)
+   * The sidecar sends the highest sequence number it has received. Requests above it never
+   * arrived and are sent again; requests that the sidecar still has continue after the last
+   * chunk received. (That a reconnecting party reports its highest sequence number, so that the
+   * rest can be replayed, follows StarFish: Gabber et al., USENIX 2003.)
    */
   private _resume (welcome: Welcome): void {
-    const held = new Set(welcome.open)
+    const openAtSidecar = new Set(welcome.open)
     const { clock } = this._options
     for (const [seq, attempt] of [...this._open]) {
       if (seq > welcome.highestSeq) {
         if (attempt.withdrawn) attempt.fail(failure('not-run', 'withdrawn', 'The request was withdrawn before it was sent.'))
         else this._write({ body: { $case: 'request', value: { ...attempt.request, deadlineMs: attempt.deadlineAt - clock.now() } } })
-      } else if (!held.has(seq)) {
-        attempt.fail(failure('may-have-run', 'channel-lost', 'The channel broke and the sidecar no longer holds the request.'))
+      } else if (!openAtSidecar.has(seq)) {
+        attempt.fail(failure('may-have-run', 'channel-lost', 'The channel broke and the sidecar no longer has the request.'))
       } else if (attempt.withdrawn) {
         this._write({ body: { $case: 'withdraw', value: { seq, reason: 'deadline' } } })
       }
     }
   }
 
-  private _lost (stream: Stream): void {
+  private _connectionLost (stream: Stream): void {
     if (this._stream !== stream) return
     this._stream = undefined
     this._batcher = undefined
@@ -248,10 +248,10 @@
   }
 
   private _startGrace (): void {
-    const lost = failure('may-have-run', 'channel-lost', 'The channel to the sidecar broke and did not come back in time.')
+    const lost = failure('may-have-run', 'channel-lost', 'The channel to the sidecar broke and was not restored in time.')
     for (const [seq, attempt] of [...this._open]) {
-      // Waiting for a reconnect costs time; another upstream can answer at once when
-      // running twice does no harm and the caller has seen nothing yet.
+      // Waiting for a reconnect takes time. An idempotent request of whose answer nothing has
+      // arrived fails at once instead, so that it can be sent to another upstream.
       if (!attempt.request.idempotent || attempt.begun) continue
       this._open.delete(seq)
       attempt.fail(lost)
@@ -269,18 +269,18 @@
     }
   }
 
-  private _beat (): void {
+  private _heartbeat (): void {
     if (this._closed) return
     const { clock, revision } = this._options
     const interval = this._options.heartbeatMs ?? defaultHeartbeatMs
     if (this._connected) {
       this._write({ body: { $case: 'heartbeat', value: { revision: revision() } } })
-      const quiet = clock.now() - this._lastHeard
-      // Silence stops new work. It says nothing of requests that are open there.
-      if (quiet > interval * suspectBeats) this._events.silent()
-      // A peer that vanished without closing leaves a connection that never fails by itself.
-      if (quiet > interval * deadBeats) this._stream?.cancel()
+      const silence = clock.now() - this._lastReceivedAt
+      // A silent sidecar gets no new requests. Its open requests may still be running, so they are kept.
+      if (silence > interval * suspectAfterBeats) this._events.silent()
+      // The connection to a peer that vanished without closing it never fails by itself.
+      if (silence > interval * disconnectAfterBeats) this._stream?.cancel()
     }
-    clock.after(interval, () => this._beat())
+    clock.after(interval, () => this._heartbeat())
   }
 }
