--- a/packages/entry/src/lib/config-watch.ts
+++ b/packages/entry/src/lib/config-watch.ts
@@ -1,5 +1,5 @@
 /**
- * Follows the configuration in the key-value service.
+ * Watches the configuration in the key-value service.
  */
 import { type Clock, type ConfigDocument, type Log, type Ms, sleep } from '@hazelford/core'
 import { configKey, type ConfigState, readDocument } from '@hazelford/config'
@@ -7,14 +7,14 @@
 import type { KvClient, KvRead } from '@hazelford/consul'
 
 /**
- * Wait of one watch. A watch that the service swallowed shows only by its timeout, a second later, and a change must be in force
- * within 9 s. With 30 s a service that swallowed the watches of all entries for 0.4 s kept the next change out for 31 s. Costs
- * each entry a read in 7 s.
+ * Longest wait of one watch. A watch that the service received but never answers is detected only by its time-out, one second
+ * after this wait, and a change must be in force within 9 s. With 30 s, a service that dropped the watches of all entries in a
+ * fault of 0.4 s delayed the next change by 31 s. The wait costs each entry one read in 7 s.
  */
-const watchWait: Ms = 7_000
+const watchTimeout: Ms = 7_000
 const backoff = { base: 100, cap: 3_000 }
 
-/** What the watch works with. */
+/** Dependencies of {@link ConfigWatch}. */
 export interface ConfigWatchOptions {
   readonly kv: KvClient
   readonly clock: Clock
@@ -22,34 +22,34 @@
   readonly state: ConfigState
 }
 
-/** Brings new revisions from the key-value service into force here. */
+/** Puts new revisions from the key-value service in force in this process. */
 export class ConfigWatch {
   private readonly _abort = new AbortController()
   private _failures = 0
 
   constructor (private readonly _options: ConfigWatchOptions) {}
 
-  /** Runs until {@link ConfigWatch.stop}. */
+  /** Watches until {@link ConfigWatch.stop} is called. */
   async run (): Promise<void> {
     const { kv, clock } = this._options
     let index = 0
     while (!this._abort.signal.aborted) {
-      const read = index === 0 ? await kv.read(configKey) : await kv.watch(configKey, index, watchWait, this._abort.signal)
+      const read = index === 0 ? await kv.read(configKey) : await kv.watch(configKey, index, watchTimeout, this._abort.signal)
       if (read.isErr()) {
         index = 0
         await sleep(clock, fullJitter(++this._failures, backoff, Math.random))
         continue
       }
       this._failures = 0
-      // An index that falls means that the store was replaced; waiting on the old one could last for ever.
+      // An index that decreases means that the store was replaced; a watch from the old index might never return.
       index = read.value.index < index ? 0 : read.value.index
-      await this._take(read.value)
+      await this._applyRead(read.value)
     }
   }
 
   stop (): void { this._abort.abort() }
 
-  private async _take (read: KvRead): Promise<void> {
+  private async _applyRead (read: KvRead): Promise<void> {
     const { state, log } = this._options
     const doc = read.entry === undefined ? undefined : readDocument(read.entry.value)
     if (doc !== undefined && state.offer(doc, 'key-value service')) return
@@ -60,10 +60,10 @@
   }
 
   /**
-   * Writes the newest accepted document back.
+   * Writes the newest accepted document back to the store.
    *
-   * A store restored from an old copy would hand a reverted decision to every process
-   * that starts from now on. If the read was only stale, the index is old too and the
+   * A store restored from an old backup would give every process that starts from now on an
+   * outdated configuration. If only the read was stale, its index is old too and the
    * compare-and-swap changes nothing.
    */
   private async _putBack (held: ConfigDocument, index: number): Promise<void> {
