--- a/packages/entry/src/lib/entry.ts
+++ b/packages/entry/src/lib/entry.ts
@@ -1,5 +1,5 @@
 /**
- * One entry: takes callers' requests and sees each to its one answer.
+ * One entry: receives callers' requests, routes them to upstreams and gives each exactly one answer.
  */
 import type { ServerResponse } from 'node:http'
 import { adapterKey, callDigest, failure, type Failure, newId, type Ms } from '@hazelford/core'
@@ -13,7 +13,7 @@
 import { type RequestOutcome, startRequest } from './request-task.js'
 import { UpstreamDirectory } from './upstream-directory.js'
 
-/** What operators see of an entry. */
+/** Status of an entry for operators. */
 export interface EntryStatus {
   readonly role: 'entry'
   readonly name: string
@@ -26,7 +26,7 @@
 }
 
 const overloadRetryAfter: Ms = 1_000
-/** Engines that end under one request before it is held back, and for how long it is. */
+/** Number of engines that terminate while running one request before it is quarantined, and the duration of the quarantine in ms. */
 const quarantineLimits = { after: 3, holdTime: 600_000 }
 const drainCheckMs: Ms = 20
 
@@ -53,17 +53,17 @@
   constructor (readonly options: EntryOptions) {
     const { kv, clock, log, events } = options
     this.config = new ConfigState(log, events)
-    this.directory = new UpstreamDirectory(options, this.incarnation, this.config, (request, upstream, age) => this._noteEnd(request, upstream, age))
+    this.directory = new UpstreamDirectory(options, this.incarnation, this.config, (request, upstream, age) => this._recordTermination(request, upstream, age))
     this._watch = new ConfigWatch({ kv, clock, log, state: this.config })
   }
 
-  /** Requests that have no answer yet. */
+  /** Number of requests without an answer. */
   get openRequests (): number { return this._open }
 
-  /** Whether the balancer should send callers here. */
+  /** Whether the load balancer should send callers to this entry. */
   get ready (): boolean { return !this._leaving && this.config.config !== undefined }
 
-  /** Begins to follow the platform. */
+  /** Starts to watch the configuration and the host list. */
   start (): void {
     const { events, name, log } = this.options
     events.add('process', { note: `entry ${name} starts` })
@@ -92,10 +92,10 @@
   }
 
   /**
-   * Leaves: readiness goes off, connections are accepted until the balancer has
-   * noticed, and every request is finished.
+   * Shuts down gracefully: stops reporting ready, accepts connections until the load balancer
+   * has noticed, and finishes every request.
    *
-   * @param limit - ms after which open requests are given up
+   * @param limit - ms after which open requests are abandoned
    */
   async shutdown (limit: Ms = 60_000): Promise<void> {
     const { clock, events, balancerNoticeMs } = this.options
@@ -108,16 +108,16 @@
     this.stop()
   }
 
-  /** Stops at once. */
+  /** Stops at once; open requests fail. */
   stop (): void {
     this._watch.stop()
     this.directory.close()
   }
 
   /**
-   * Runs a checked call.
+   * Runs a validated call.
    *
-   * @param call - from the caller
+   * @param call - call of a caller
    * @param res - the raw response
    */
   run (call: Call, res: ServerResponse): void {
@@ -136,8 +136,8 @@
     budget.firstAttempt()
     this._open++
     events.add('request-taken', { request: id, ...(adapter === undefined ? {} : { adapter }) })
-    // Everything the request needs of the configuration is taken here, so that it ends
-    // under the revision it began with.
+    // Everything the request needs from the configuration is read here, so that the request
+    // ends with the revision it began with.
     const revision = this.config.revision
     const weights: RouteWeights = {
       stall: config.policy.stall_weight,
@@ -149,7 +149,7 @@
       clock,
       events,
       takeRetry: () => budget.takeRetry(),
-      quarantineFailure: () => this._heldBack(digest),
+      quarantineFailure: () => this._quarantineFailure(digest),
       mayComeBack: () => this.directory.views(call.service.name).some(view => view.mayComeBack(clock.now())),
       choose: tried => chooseUpstream({
         ...(adapter === undefined ? {} : { adapter }),
@@ -161,7 +161,7 @@
         const view = this.directory.view(upstream)!
         view.sent(adapter)
         const channel = this.directory.channel(upstream)
-        if (channel === undefined) return this._unsent(receiver)
+        if (channel === undefined) return this._failUnsent(receiver)
         return channel.send({
           id,
           revision,
@@ -186,40 +186,40 @@
       },
       over: outcome => {
         if (outcome.kind === 'answered') this._quarantine.recordAnswered(digest, clock.now())
-        this._over(id, outcome, startedAt, call)
+        this._finished(id, outcome, startedAt, call)
       }
     })
     meter.count('requests', 1, { service: call.service.name })
   }
 
-  /** Answers with an error that needs no upstream. */
+  /** Refuses a request with an error, without calling an upstream. */
   refuse (res: ServerResponse, cause: Failure, id = newId('req')): void {
     this.options.meter.count('failures', 1, { code: cause.code })
     new CallerResponse(res, id, () => {}).fail(cause)
   }
 
-  /** Each sidecar tells all its entries, so each entry counts by itself. */
-  private _noteEnd (request: string, upstream: string, age: Ms): void {
+  /** Records that an upstream terminated while running a request. Each sidecar reports to all its entries, so each entry counts independently. */
+  private _recordTermination (request: string, upstream: string, age: Ms): void {
     const { clock, log } = this.options
     const now = clock.now()
     if (!this._quarantine.recordTermination(request, { upstream, at: now - age }, now) || !this._quarantine.hold(request, now)) return
-    log.warn('entry', 'request held back, engines ended under it.', { digest: request, upstreams: this._quarantine.terminatedUpstreams(request) })
+    log.warn('entry', 'request quarantined, engines terminated while running it.', { digest: request, upstreams: this._quarantine.terminatedUpstreams(request) })
   }
 
-  private _heldBack (request: string): Failure | undefined {
+  private _quarantineFailure (request: string): Failure | undefined {
     const { holdTime } = quarantineLimits
     if (!this._quarantine.holds(request, this.options.clock.now())) return undefined
-    return failure('not-run', 'quarantined', 'Engines have ended under this request, so it is not run for ten minutes.', holdTime)
+    return failure('not-run', 'quarantined', 'Engines terminated while running this request, so it is quarantined for ten minutes.', holdTime)
   }
 
-  /** The channel went between the choice and the dispatch: nothing was sent. */
-  private _unsent (receiver: AnswerReceiver): Attempt {
-    const cause = failure('not-run', 'no-upstream', 'The channel to the upstream is gone.', overloadRetryAfter)
+  /** Fails an attempt whose channel was lost between the choice of the upstream and the dispatch: the request was not sent. */
+  private _failUnsent (receiver: AnswerReceiver): Attempt {
+    const cause = failure('not-run', 'no-upstream', 'The channel to the upstream was lost before the request was sent.', overloadRetryAfter)
     setImmediate(() => receiver.end({ verdict: 'not-run', failure: cause }))
     return { withdraw: () => {}, confirm: () => {}, close: () => {} }
   }
 
-  private _over (id: string, outcome: RequestOutcome, startedAt: Ms, call: Call): void {
+  private _finished (id: string, outcome: RequestOutcome, startedAt: Ms, call: Call): void {
     const { clock, events, meter } = this.options
     this._open--
     const note = outcome.kind === 'failed' ? `${outcome.failure.code} ${outcome.failure.verdict}` : outcome.kind
@@ -234,10 +234,10 @@
     }
     const down = this._downDependency(call.service, config)
     if (down === undefined) return undefined
-    return failure('not-run', 'dependency-down', `The service "${down}", which "${call.service.name}" depends on, has no upstream that takes work.`, overloadRetryAfter)
+    return failure('not-run', 'dependency-down', `The service "${down}", which "${call.service.name}" depends on, has no upstream that accepts requests.`, overloadRetryAfter)
   }
 
-  /** First dependency, direct or not, with no upstream that takes work. */
+  /** First direct or indirect dependency that has no upstream accepting requests. */
   private _downDependency (service: Service, config: Config): string | undefined {
     const now = this.options.clock.now()
     for (const name of service.dependsOn) {
