--- a/packages/entry/src/lib/request-task.ts
+++ b/packages/entry/src/lib/request-task.ts
@@ -1,5 +1,5 @@
 /**
- * Drives one request: performs what the request's decisions ask for.
+ * Runs one request: carries out the effects that the request flow returns.
  */
 import type { ServerResponse } from 'node:http'
 import { assertNever, type CancelTimer, type Clock, type EventRing, type Failure, type Ms, Task } from '@hazelford/core'
@@ -7,20 +7,20 @@
 import type { AnswerReceiver, Attempt } from './answer-receiver.js'
 import { CallerResponse } from './caller-response.js'
 
-/** How a request ended, for counts and logs. */
+/** How a request ended, for metrics and logs. */
 export type RequestOutcome =
   | { readonly kind: 'answered' }
   | { readonly kind: 'failed', readonly failure: Failure }
   | { readonly kind: 'caller-gone' }
 
-/** What a request needs of its entry. */
+/** Functions of the entry that a request calls. */
 export interface RequestDeps {
   readonly clock: Clock
   readonly events: EventRing
   readonly choose: (tried: ReadonlySet<string>) => string | undefined
   readonly mayComeBack: () => boolean
   readonly takeRetry: () => boolean
-  /** Why the request is held back; undefined when it is not. */
+  /** Failure of a quarantined request; undefined when the request is not quarantined. */
   readonly quarantineFailure: () => Failure | undefined
   readonly dispatch: (upstream: string, receiver: AnswerReceiver) => Attempt
   readonly over: (outcome: RequestOutcome) => void
@@ -28,14 +28,14 @@
 
 const withdrawTimeoutMs: Ms = 1_000
 
-/** One request from its arrival to its answer. */
+/** One request, from its arrival to its answer. */
 export class RequestTask {
   private readonly _task: Task<FlowMessage, FlowEffect>
   private readonly _response: CallerResponse
   private readonly _timers: CancelTimer[] = []
   private _attempt: Attempt | undefined
   private _attempts = 0
-  private _over = false
+  private _isFinished = false
 
   constructor (readonly id: string, request: FlowRequest, deadlineAt: Ms, res: ServerResponse, private readonly _deps: RequestDeps) {
     const { clock } = _deps
@@ -55,7 +55,7 @@
   }
 
   private _post (msg: FlowMessage): void {
-    if (!this._over) this._task.post(msg)
+    if (!this._isFinished) this._task.post(msg)
   }
 
   private _perform (effect: FlowEffect): void {
@@ -86,12 +86,12 @@
     this._attempts++
     const attempt = this._attempts
     this._deps.events.add(attempt === 1 ? 'request-sent' : 'request-retried', { request: this.id, upstream })
-    // Words of an earlier attempt that come late must not be taken for this one's.
-    const current = (msg: FlowMessage): void => { if (attempt === this._attempts) this._post(msg) }
+    // Late messages of an earlier attempt must not be taken for messages of the current one.
+    const postIfCurrent = (msg: FlowMessage): void => { if (attempt === this._attempts) this._post(msg) }
     this._attempt = this._deps.dispatch(upstream, {
-      head: head => current({ kind: 'head', head }),
-      chunk: data => current({ kind: 'chunk', data }),
-      end: end => current({ kind: 'end', end })
+      head: head => postIfCurrent({ kind: 'head', head }),
+      chunk: data => postIfCurrent({ kind: 'chunk', data }),
+      end: end => postIfCurrent({ kind: 'end', end })
     })
   }
 
@@ -101,7 +101,7 @@
   }
 
   private _finish (outcome: RequestOutcome): void {
-    this._over = true
+    this._isFinished = true
     for (const cancel of this._timers) cancel()
     this._attempt?.close()
     this._deps.over(outcome)
@@ -109,13 +109,13 @@
 }
 
 /**
- * Starts a request; it lives until its answer is given.
+ * Starts a request, which runs until it is answered.
  *
- * @param id - unique name
- * @param request - what bears on retries
- * @param deadlineAt - on the entry's clock
+ * @param id - unique id of the request
+ * @param request - properties of the request that decide on retries
+ * @param deadlineAt - deadline on the entry's clock
  * @param res - the raw response
- * @param deps - what it needs of the entry
+ * @param deps - functions of the entry
  */
 export function startRequest (id: string, request: FlowRequest, deadlineAt: Ms, res: ServerResponse, deps: RequestDeps): RequestTask {
   return new RequestTask(id, request, deadlineAt, res, deps)
