--- a/packages/entry/src/lib/serve-callers.ts
+++ b/packages/entry/src/lib/serve-callers.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' HTTP interface.
+ * The HTTP interface for callers.
  */
 import { type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -14,10 +14,10 @@
 
 interface Raw { Bindings: HttpBindings }
 
-/** A listening interface. */
+/** The listening HTTP server for callers. */
 export interface CallerServer {
   readonly port: number
-  /** Ends idle connections and takes no new ones. */
+  /** Closes idle connections and accepts no new ones. */
   readonly close: () => Promise<void>
 }
 
@@ -37,7 +37,7 @@
   const body = await readBody(req, entry.options.maxBodyBytes)
   const { config } = entry.config
   if (body.isErr()) {
-    // The rest of an oversized body is not read; the connection can't be used again.
+    // The rest of an oversized body is not read, so the connection can't be reused.
     res.setHeader('connection', 'close')
     entry.refuse(res, body.error)
   } else if (config === undefined) {
@@ -54,7 +54,7 @@
   return { object: 'list', data }
 }
 
-/** Splits `/services/<name>/<path>` into name and path with query. */
+/** Splits `/services/<name>/<path>` into the name and the path with its query. */
 function splitServicePath (url: string): { readonly name: string, readonly path: string } {
   const rest = url.slice(servicesPrefix.length)
   const end = rest.search(/[/?]/)
@@ -84,11 +84,11 @@
 }
 
 /**
- * Serves callers.
+ * Starts the HTTP server for callers.
  *
- * @param entry - runs the calls
+ * @param entry - entry that runs the calls
  * @param host - address to listen on
- * @param port - 0 lets the kernel choose
+ * @param port - port to listen on; 0 lets the kernel choose one
  */
 export async function serveCallers (entry: Entry, host: string, port: number): Promise<CallerServer> {
   const server = createAdaptorServer({
