--- a/packages/engine/src/lib/engine-client.ts
+++ b/packages/engine/src/lib/engine-client.ts
@@ -1,8 +1,8 @@
 /**
  * Client of a model engine.
  *
- * Protocol: vLLM's OpenAI-compatible server with run-time LoRA orders. Streams carry
- * event ids, and `GET /v1/streams/:id` with `Last-Event-ID` resumes one.
+ * Protocol: vLLM's OpenAI-compatible server with dynamic loading and unloading of LoRA adapters.
+ * Streams carry event ids, and `GET /v1/streams/:id` with `Last-Event-ID` resumes one.
  */
 import { failure } from '@hazelford/core'
 import { Sequencer } from '@hazelford/decisions'
@@ -13,10 +13,10 @@
 import { type HttpHandle, startHttpCall } from './http-call.js'
 import { SseSplitter } from './sse-splitter.js'
 
-/** What a load or unload came to. */
+/** Outcome of a load or unload order. */
 export type OrderOutcome = 'done' | 'absent' | 'failed' | 'fenced' | 'no-slot' | 'unknown'
 
-/** What the engine holds. */
+/** The adapters that the engine lists. */
 export interface EngineListing {
   /** Engine-side names of loaded adapters. */
   readonly names: readonly string[]
@@ -24,20 +24,20 @@
 
 /** A completion to run. */
 export interface CompletionCall {
-  /** Unique name of the attempt, by which its stream is resumed or cancelled. */
+  /** Unique id of the attempt, by which its stream is resumed or cancelled. */
   readonly id: string
   readonly path: string
   /** The caller's JSON body. */
   readonly body: Uint8Array
-  /** Engine-side name that must run. */
+  /** Engine-side name of the adapter that must run. */
   readonly engineName: string
-  /** Name the caller knows, which replaces the engine-side one in the answer. */
+  /** Adapter name for the caller, which replaces the engine-side name in the answer. */
   readonly publicName: string
-  /** Lower runs first. */
+  /** Scheduling priority in the engine; lower values run first. */
   readonly priority: number
 }
 
-/** What the sidecar needs of a model engine. */
+/** Operations of a model engine that the sidecar uses. */
 export interface EngineClient {
   readonly list: () => ResultAsync<EngineListing, string>
   readonly load: (engineName: string, path: string, fencingNumber: number) => Promise<OrderOutcome>
@@ -55,7 +55,7 @@
 const doneLine = 'data: [DONE]'
 const dataFieldLength = 'data: '.length
 
-/** Tells whether an answer names the adapter that was asked for. */
+/** Whether an answer names the adapter that was requested. */
 function namesModel (json: string, engineName: string): boolean {
   if (json.includes(`"model":"${engineName}"`)) return true
   try {
@@ -65,26 +65,26 @@
   }
 }
 
-/** The JSON of an event's line, which was read byte by byte. */
+/** The JSON of an event's data line, decoded from its latin1 string of bytes. */
 function eventJson (line: string): string {
   return Buffer.from(line.slice(dataFieldLength), 'latin1').toString('utf8')
 }
 
 function wrongAdapter (engineName: string): ReturnType<typeof failure> {
-  return failure('may-have-run', 'wrong-adapter', `The engine answered for another adapter than ${engineName}. The answer was dropped; repeat the request.`)
+  return failure('may-have-run', 'wrong-adapter', `The engine answered for another adapter than ${engineName}. The answer was discarded; repeat the request.`)
 }
 
-/** Runs one completion, over several connections if its stream breaks. */
+/** Runs one completion; resumes its stream over a new connection if it breaks. */
 class CompletionRun implements CallHandle {
-  private readonly _events = new Sequencer<string>(line => this._take(line), reorderWindow)
-  private _ready = ''
+  private readonly _events = new Sequencer<string>(line => this._checkEvent(line), reorderWindow)
+  private _checkedEvents = ''
   private _http: HttpHandle
   private _status = 0
   private _streamed = false
   private readonly _modelMark: string
-  private _whole: Buffer[] = []
+  private _bodyParts: Buffer[] = []
   private _headSent = false
-  private _over = false
+  private _isFinished = false
   private _paused = false
   private _resumed = false
   private _resumesLeft = resumeAttempts
@@ -109,10 +109,10 @@
   }
 
   cancel = async (): Promise<void> => {
-    this._over = true
+    this._isFinished = true
     this._http.abort()
-    // A cut connection tells the engine late or, when the stream can be resumed, not at
-    // all. Until it has stopped it still uses the adapter, which must stay pinned.
+    // From a closed connection alone the engine learns of the cancellation late or, when the stream
+    // can be resumed, not at all. Until it stops it uses the adapter, which must stay pinned.
     await this._pool.request({ method: 'DELETE', path: `/v1/streams/${this._call.id}`, signal: AbortSignal.timeout(cancelTimeoutMs) })
       .then(res => res.body.dump(), () => {})
   }
@@ -122,8 +122,8 @@
     const handle = startHttpCall(this._pool, call, {
       head: (status, headers) => this._head(status, headers),
       data: data => this._data(splitter, data),
-      end: () => this._ended(),
-      fail: cause => this._broken(cause)
+      end: () => this._responseEnded(),
+      fail: cause => this._connectionBroke(cause)
     })
     if (this._paused) handle.pause()
     return handle
@@ -136,43 +136,43 @@
   }
 
   private _data (splitter: SseSplitter, data: Buffer): void {
-    if (this._over) return
+    if (this._isFinished) return
     if (!this._streamed) {
-      this._whole.push(data)
+      this._bodyParts.push(data)
       return
     }
     for (const event of splitter.push(data)) {
       const verdict = this._events.offer(event.id ?? this._events.delivered, event.line)
-      if (verdict === 'overflow') return this._broken(failure('may-have-run', 'stream-incomplete', 'The engine skipped part of the stream.'))
-      if (this._over) return
+      if (verdict === 'overflow') return this._connectionBroke(failure('may-have-run', 'stream-incomplete', 'The engine skipped part of the stream.'))
+      if (this._isFinished) return
     }
     this._flush()
   }
 
-  /** Checks one event in order. */
-  private _take (line: string): void {
-    if (this._over) return
+  /** Checks the next event of the stream and adds it to the output. */
+  private _checkEvent (line: string): void {
+    if (this._isFinished) return
     if (line === doneLine) {
-      this._ready += `${doneLine}\n\n`
+      this._checkedEvents += `${doneLine}\n\n`
       this._flush()
       this._finish(() => this._sink.end())
       return
     }
     if (!line.includes(this._modelMark) && !namesModel(eventJson(line), this._call.engineName)) {
-      // An engine that lost the adapter can fall back to another one. Passing its
-      // words on would answer a caller from the wrong adapter.
+      // An engine that lost the adapter can fall back to another one. Forwarding its output
+      // would answer the caller from the wrong adapter.
       this.cancel().then(() => this._sink.fail(wrongAdapter(this._call.engineName)), () => {})
       return
     }
-    this._ready += `${line.replace(this._call.engineName, this._call.publicName)}\n\n`
+    this._checkedEvents += `${line.replace(this._call.engineName, this._call.publicName)}\n\n`
   }
 
-  /** Passes on what one read completed. */
+  /** Forwards the events that one read completed. */
   private _flush (): void {
-    if (this._ready === '') return
+    if (this._checkedEvents === '') return
     this._sendHead()
-    const bytes = Buffer.from(this._ready, 'latin1')
-    this._ready = ''
+    const bytes = Buffer.from(this._checkedEvents, 'latin1')
+    this._checkedEvents = ''
     this._sink.data(bytes)
   }
 
@@ -182,13 +182,13 @@
     this._sink.head(this._status, answerHeaders(this._headers, ['content-length', 'x-stream-id']))
   }
 
-  private _ended (): void {
-    if (this._over) return
-    if (this._streamed) return this._broken(failure('may-have-run', 'stream-incomplete', 'The engine ended the stream before its last event.'))
-    // A 404 to the attempt to resume means that the engine forgot the stream. Taking it
-    // for a missing adapter would run the request again after part of its answer went out.
-    if (this._resumed) return this._finish(() => this._sink.fail(failure('may-have-run', 'stream-incomplete', 'The engine lost the stream in the middle.')))
-    const text = Buffer.concat(this._whole).toString('utf8')
+  private _responseEnded (): void {
+    if (this._isFinished) return
+    if (this._streamed) return this._connectionBroke(failure('may-have-run', 'stream-incomplete', 'The engine ended the stream before its last event.'))
+    // A 404 to an attempt to resume means that the engine no longer has the stream. Treating it
+    // as a missing adapter would run the request again after part of its answer was sent.
+    if (this._resumed) return this._finish(() => this._sink.fail(failure('may-have-run', 'stream-incomplete', 'The engine lost the stream before its last event.')))
+    const text = Buffer.concat(this._bodyParts).toString('utf8')
     if (this._status === 404) return this._finish(() => this._sink.notLoaded())
     if (this._status === 200 && !namesModel(text, this._call.engineName)) {
       return this._finish(() => this._sink.fail(wrongAdapter(this._call.engineName)))
@@ -198,8 +198,8 @@
     this._finish(() => this._sink.end())
   }
 
-  private _broken (cause: ReturnType<typeof failure>): void {
-    if (this._over) return
+  private _connectionBroke (cause: ReturnType<typeof failure>): void {
+    if (this._isFinished) return
     if (!this._streamed || this._resumesLeft === 0) return this._finish(() => this._sink.fail(cause))
     this._resumesLeft--
     this._resumed = true
@@ -208,22 +208,22 @@
     this._http = this._open({ method: 'GET', path: `/v1/streams/${this._call.id}`, headers })
   }
 
-  private _finish (tell: () => void): void {
-    if (this._over) return
-    this._over = true
-    tell()
+  private _finish (notify: () => void): void {
+    if (this._isFinished) return
+    this._isFinished = true
+    notify()
   }
 }
 
 /**
- * Opens a client of an engine.
+ * Creates a client of a model engine.
  *
  * @param url - base URL of the engine
  */
 export function createEngineClient (url: string): EngineClient {
   const pool = new Pool(url, { connections: null, pipelining: 1 })
 
-  async function order (path: string, body: object, number: number, timeout: number): Promise<OrderOutcome> {
+  async function sendOrder (path: string, body: object, number: number, timeout: number): Promise<OrderOutcome> {
     try {
       const res = await pool.request({
         method: 'POST',
@@ -253,8 +253,8 @@
 
   return {
     list: () => ResultAsync.fromPromise(list(), cause => (cause as Error).message),
-    load: (name, path, number) => order('/v1/load_lora_adapter', { lora_name: name, lora_path: path }, number, loadTimeoutMs),
-    unload: (name, number) => order('/v1/unload_lora_adapter', { lora_name: name }, number, unloadTimeoutMs),
+    load: (name, path, number) => sendOrder('/v1/load_lora_adapter', { lora_name: name, lora_path: path }, number, loadTimeoutMs),
+    unload: (name, number) => sendOrder('/v1/unload_lora_adapter', { lora_name: name }, number, unloadTimeoutMs),
     complete: (call, sink) => new CompletionRun(pool, call, sink),
     close: () => pool.destroy()
   }
