--- a/packages/engine/src/lib/answer-sink.ts
+++ b/packages/engine/src/lib/answer-sink.ts
@@ -1,5 +1,5 @@
 /**
- * How an upstream's answer reaches the sidecar.
+ * Interfaces by which an upstream's answer is delivered to the sidecar.
  */
 import type { Failure } from '@hazelford/core'
 
@@ -9,26 +9,26 @@
   readonly value: string
 }
 
-/** Takes an answer as it comes. After `end`, `fail` or `notLoaded` nothing follows. */
+/** Receives an answer as it arrives. No call follows `end`, `fail` or `notLoaded`. */
 export interface AnswerSink {
   readonly head: (status: number, headers: readonly AnswerHeader[]) => void
   readonly data: (data: Uint8Array) => void
-  /** The answer is whole. */
+  /** The answer is complete. */
   readonly end: () => void
   readonly fail: (failure: Failure) => void
-  /** The engine refused since it lacks the adapter: nothing ran. */
+  /** The engine refused the call because the adapter is not loaded: nothing ran. */
   readonly notLoaded: () => void
 }
 
-/** Steers a call that runs. */
+/** Controls a running call. */
 export interface CallHandle {
-  /** Stops reading, so that the upstream is held back. */
+  /** Stops reading the answer, which applies backpressure to the upstream. */
   readonly pause: () => void
   readonly resume: () => void
   /**
-   * Gives the call up; the sink hears nothing more.
+   * Cancels the call; the sink is not called any more.
    *
-   * @returns when the upstream has stopped, as far as can be known
+   * @returns resolves when the upstream has stopped, as far as can be known
    */
   readonly cancel: () => Promise<void>
 }
--- a/packages/engine/src/lib/engine-name.ts
+++ b/packages/engine/src/lib/engine-name.ts
@@ -3,12 +3,12 @@
  */
 import type { AdapterKey } from '@hazelford/core'
 
-/** Which load of an adapter an engine-side name stands for. */
+/** Parts of an engine-side name, which identifies one load of an adapter. */
 export interface EngineName {
   readonly adapter: AdapterKey
   /** Fencing number of the sidecar that loaded it. */
   readonly number: number
-  /** Grows with each load by that sidecar. */
+  /** Increases with each load by that sidecar. */
   readonly generation: number
 }
 
@@ -17,16 +17,16 @@
 /**
  * Formats an engine-side name: `adapter@version#number.generation`.
  *
- * A stale holder's late unload, or our own unload whose reply was lost, can reach the
- * engine after the adapter was loaded again. Each load has a name of its own, so such
- * an order can't hit what is in use now.
+ * An unload order of a superseded sidecar, or one of this sidecar whose reply was lost, can
+ * reach the engine after the adapter was loaded again. Each load has a name of its own, so such
+ * an order can't unload an adapter that is in use.
  */
 export function formatEngineName (name: EngineName): string {
   return `${name.adapter}#${name.number}.${name.generation}`
 }
 
 /**
- * Reads an engine-side name.
+ * Parses an engine-side name.
  *
  * @param text - a model id that the engine lists
  * @returns its parts, or undefined for a model that hazelford did not load
--- a/packages/engine/src/lib/http-call.ts
+++ b/packages/engine/src/lib/http-call.ts
@@ -1,10 +1,10 @@
 /**
- * One HTTP call to an upstream, with what its failure says about having run.
+ * One HTTP call to an upstream; its failure states whether the call may have run.
  */
 import { failure, type Failure } from '@hazelford/core'
 import type { Dispatcher, Pool } from 'undici'
 
-/** A call to be made. */
+/** An HTTP call to make. */
 export interface HttpCall {
   readonly method: string
   readonly path: string
@@ -12,7 +12,7 @@
   readonly body?: Uint8Array | string
 }
 
-/** Raw events of a call. */
+/** Receives the answer of a call, or one failure. */
 export interface HttpSink {
   readonly head: (status: number, headers: Record<string, string | string[]>) => void
   readonly data: (data: Buffer) => void
@@ -20,7 +20,7 @@
   readonly fail: (failure: Failure) => void
 }
 
-/** Steers the connection of a call. */
+/** Controls the connection of a call. */
 export interface HttpHandle {
   readonly pause: () => void
   readonly resume: () => void
@@ -29,20 +29,20 @@
 
 const retryAfterRefusedConnection = 500
 
-function lostCall (wasSent: boolean, cause: Error): Failure {
-  // Before the request is written nothing can have run, and another upstream may
-  // have it. After that the upstream may have run it, whatever the error says.
+function callFailure (wasSent: boolean, cause: Error): Failure {
+  // Before the request is written it can't have run, so another upstream may get it.
+  // After that the upstream may have run it, whatever the error.
   return wasSent
     ? failure('may-have-run', 'upstream-lost', `The connection to the upstream broke (${cause.message}). Repeat only what is idempotent or has an Idempotency-Key.`)
-    : failure('not-run', 'cold', `The upstream takes no connection (${cause.message}). Send the request again later.`, retryAfterRefusedConnection)
+    : failure('not-run', 'cold', `The upstream accepts no connection (${cause.message}). Send the request again later.`, retryAfterRefusedConnection)
 }
 
 /**
- * Makes a call.
+ * Starts a call.
  *
  * @param pool - connections to the upstream
- * @param call - what to send
- * @param sink - hears the answer or one failure
+ * @param call - the call to make
+ * @param sink - receives the answer or one failure
  */
 export function startHttpCall (pool: Pool, call: HttpCall, sink: HttpSink): HttpHandle {
   let controller: Dispatcher.DispatchController | undefined
@@ -66,7 +66,7 @@
     },
     onResponseData (_, data) { if (!aborted) sink.data(data) },
     onResponseEnd () { if (!aborted) sink.end() },
-    onResponseError (_, cause) { if (!aborted) sink.fail(lostCall(controller !== undefined, cause)) }
+    onResponseError (_, cause) { if (!aborted) sink.fail(callFailure(controller !== undefined, cause)) }
   })
   return {
     pause: () => {
--- a/packages/engine/src/lib/plain-client.ts
+++ b/packages/engine/src/lib/plain-client.ts
@@ -1,12 +1,12 @@
 /**
- * Client of a plain service: calls pass as they are.
+ * Client of a plain service, which forwards calls unchanged.
  */
 import { Pool } from 'undici'
 import type { AnswerHeader, AnswerSink, CallHandle } from './answer-sink.js'
 import { answerHeaders } from './headers.js'
 import { startHttpCall } from './http-call.js'
 
-/** A call to pass on. */
+/** A call to forward. */
 export interface PlainCall {
   readonly method: string
   readonly path: string
@@ -14,14 +14,14 @@
   readonly body: Uint8Array
 }
 
-/** What the sidecar needs of a plain service. */
+/** Operations of a plain service that the sidecar uses. */
 export interface PlainClient {
   readonly call: (call: PlainCall, sink: AnswerSink) => CallHandle
   readonly close: () => Promise<void>
 }
 
 /**
- * Opens a client of a plain service.
+ * Creates a client of a plain service.
  *
  * @param url - base URL of the service
  */
--- a/packages/engine/src/lib/sse-splitter.ts
+++ b/packages/engine/src/lib/sse-splitter.ts
@@ -2,11 +2,11 @@
  * Splits a byte stream into server-sent events.
  */
 
-/** One event. Its text holds one byte in each character (latin1), as read. */
+/** One event. Each character of its text holds one byte (latin1), as read. */
 export interface SseEvent {
-  /** The `id` field, or undefined. */
+  /** The `id` field, if present. */
   readonly id: number | undefined
-  /** The `data` field, with its name in front: `data: ...`. */
+  /** The `data` field, including its name: `data: ...`. */
   readonly line: string
 }
 
@@ -15,8 +15,8 @@
 const dataField = 'data: '
 
 function parseEvent (text: string): SseEvent {
-  // Nearly every event is an id and one line of data; finding these two by position
-  // costs a fraction of splitting all lines.
+  // Nearly every event consists of an id and one data line; locating these two by position
+  // costs a fraction of splitting the event into lines.
   if (text.startsWith(idField)) {
     const end = text.indexOf('\n')
     if (text.startsWith(dataField, end + 1) && !text.includes('\n', end + 1)) {
@@ -37,19 +37,19 @@
 }
 
 /**
- * Keeps the unfinished event between two reads.
+ * Splits a stream into events and keeps an incomplete event until the next read.
  *
- * Bytes are read as latin1, which keeps each byte as it is and costs no decoding; the
- * answer leaves as the same bytes, so that UTF-8 passes unharmed.
+ * Bytes are read as latin1, which preserves each byte and needs no decoding; the answer is
+ * written as the same bytes, so that UTF-8 text stays intact.
  */
 export class SseSplitter {
   private _rest = ''
 
   /**
-   * Takes bytes.
+   * Adds the bytes of one read.
    *
-   * @param bytes - the next read
-   * @returns the events completed by it
+   * @param bytes - bytes read
+   * @returns the events that they completed
    */
   push (bytes: Buffer): readonly SseEvent[] {
     const text = this._rest + bytes.toString('latin1')
