--- a/packages/consul/src/lib/cas-with-read-back.ts
+++ b/packages/consul/src/lib/cas-with-read-back.ts
@@ -1,40 +1,40 @@
 /**
- * A compare-and-swap whose lost reply is settled by reading back.
+ * A compare-and-swap that reads the value back to determine its outcome when the reply is lost.
  */
 import { type KvClient, type KvRead } from './kv-client.js'
 
 /**
- * What became of a write.
+ * Outcome of a write.
  *
- * - `stored`: our value took effect.
- * - `conflict`: another value stands; it is given.
- * - `not-applied`: our value did not and will not take effect.
- * - `unknown`: neither the reply nor a read back came.
+ * - `stored`: the value took effect.
+ * - `conflict`: the key holds another value, which is returned.
+ * - `not-applied`: the value did not and will not take effect.
+ * - `unknown`: the reply was lost, and the read-back failed or could not rule out that the write takes effect later.
  */
 export type CasWriteOutcome =
   | { readonly kind: 'stored' }
-  /** `certain` is false when our reply was lost: our value may have stood before the one seen now. */
+  /** `certain` is false when the reply was lost: the value may have been stored and then replaced by the current one. */
   | { readonly kind: 'conflict', readonly current: KvRead, readonly certain: boolean }
   | { readonly kind: 'not-applied', readonly message: string }
   | { readonly kind: 'unknown', readonly message: string }
 
 /**
- * Writes a value that carries a unique token.
+ * Writes a value that contains a unique token.
  *
- * @param kv - the service
- * @param key - where
- * @param index - index the write replaces; 0 creates
- * @param value - new value; it must differ from every value anybody else writes
- * @param isOwn - recognises our value in a read
+ * @param kv - client of the key-value service
+ * @param key - key to write
+ * @param index - index that the write replaces; 0 creates the key
+ * @param value - new value; it must differ from the values of all other writes
+ * @param isOwn - whether a value that was read back is this one
  */
 export async function casWithReadBack (kv: KvClient, key: string, index: number, value: string, isOwn: (value: string) => boolean): Promise<CasWriteOutcome> {
   const written = await kv.cas(key, index, value)
   if (written.isOk() && written.value === 'stored') return { kind: 'stored' }
   if (written.isErr() && written.error.kind === 'not-applied') return { kind: 'not-applied', message: written.error.message }
 
-  // The reply to the CAS can be lost after the write took effect. The writer would
-  // then retry, see its own value as a conflict, and report a race that never
-  // happened. The token in the value tells our own write from another's.
+  // The reply to the compare-and-swap can be lost after the write took effect. A writer that
+  // retried would see its own value as a conflict and report a race that never happened. The
+  // token in the value distinguishes its own write from those of others.
   const read = await kv.read(key)
   if (read.isErr()) {
     const message = written.isErr() ? written.error.message : read.error.message
@@ -42,8 +42,8 @@
   }
   const { entry } = read.value
   if (entry !== undefined && isOwn(entry.value)) return { kind: 'stored' }
-  // A write whose reply was lost may still be on its way to the service. As long as
-  // the key has the index it names, it could yet take effect after this read.
+  // A write whose reply was lost may not have reached the service yet. As long as the key
+  // has the index that the write expects, it can still take effect after this read.
   if (written.isErr() && (entry?.modifyIndex ?? 0) === index) return { kind: 'unknown', message: written.error.message }
   return { kind: 'conflict', current: read.value, certain: written.isOk() }
 }
--- a/packages/consul/src/lib/host-list.ts
+++ b/packages/consul/src/lib/host-list.ts
@@ -9,20 +9,20 @@
 import { Pool } from 'undici'
 import type { KvFailure } from './kv-client.js'
 
-/** A host as the platform lists it. The list lags behind reality. */
+/** A host as the platform lists it. The list may be out of date. */
 export interface Host {
   readonly name: string
   readonly role: 'entry' | 'sidecar'
   readonly zone: string
-  /** Where its processes listen for one another. */
+  /** Address at which its processes listen for other processes of the system. */
   readonly address: string
   readonly port: number
-  /** Operator interface. */
+  /** Port of the operator interface. */
   readonly operatorPort: number
   readonly state: 'live' | 'leaving'
 }
 
-/** The list at one index. */
+/** The host list at one index. */
 export interface HostList {
   readonly hosts: readonly Host[]
   readonly index: number
@@ -51,14 +51,14 @@
   }
 }
 
-/** What the rest of the system needs of the host list. */
+/** Operations of the host list that the system uses. */
 export interface HostListClient {
   /** Waits until the list changes after `index`, at most `wait` ms; index 0 answers at once. */
   watch: (index: number, wait: Ms, signal?: AbortSignal) => ResultAsync<HostList, KvFailure>
 }
 
 /**
- * Opens a client of the host list.
+ * Creates a client of the host list.
  *
  * @param url - base URL of the list
  */
--- a/packages/consul/src/lib/kv-breaker.ts
+++ b/packages/consul/src/lib/kv-breaker.ts
@@ -1,5 +1,5 @@
 /**
- * Spares callers the timeout of each call while the key-value service is down.
+ * Circuit breaker for the key-value service.
  */
 import type { Clock, Ms } from '@hazelford/core'
 import { errAsync, type ResultAsync } from 'neverthrow'
@@ -7,18 +7,18 @@
 
 const openAfterFailures = 2
 const openMs: Ms = 1_000
-const open: KvFailure = { kind: 'not-applied', message: 'The key-value service did not answer the last calls.' }
+const breakerOpen: KvFailure = { kind: 'not-applied', message: 'The key-value service did not answer the last calls.' }
 
 /**
  * Wraps a client in a circuit breaker.
  *
- * A service that swallows calls costs each caller a whole timeout. Loads and keyed
- * bookings make two or three calls each, so an outage would show as seconds of stall
- * on every one. After two failures in a row calls fail at once, as not applied, except
- * for one probe a second.
+ * Each call to a service that does not answer lasts until its time-out. An adapter load or a
+ * call with an idempotency key makes two or three such calls, so during an outage each would
+ * stall for seconds. After two consecutive failures calls fail at once, as not applied, except
+ * for one probe per second.
  *
- * @param kv - the client
- * @param clock - for the probes
+ * @param kv - client to wrap
+ * @param clock - times the probes
  */
 export function withBreaker (kv: KvClient, clock: Clock): KvClient {
   let failures = 0
@@ -26,7 +26,7 @@
 
   function guard<T> (call: () => ResultAsync<T, KvFailure>): ResultAsync<T, KvFailure> {
     if (failures >= openAfterFailures) {
-      if (clock.now() < probeAt) return errAsync(open)
+      if (clock.now() < probeAt) return errAsync(breakerOpen)
       probeAt = clock.now() + openMs
     }
     return call()
@@ -43,7 +43,7 @@
 
   return {
     read: key => guard(() => kv.read(key)),
-    // A watch waits by design; its own retries have a backoff.
+    // A watch waits by design, and its callers retry with a backoff.
     watch: (key, index, wait, signal) => kv.watch(key, index, wait, signal),
     list: prefix => guard(() => kv.list(prefix)),
     cas: (key, index, value) => guard(() => kv.cas(key, index, value)),
--- a/packages/consul/src/lib/kv-client.ts
+++ b/packages/consul/src/lib/kv-client.ts
@@ -8,7 +8,7 @@
 import { ResultAsync } from 'neverthrow'
 import { type Dispatcher, Pool } from 'undici'
 
-/** A stored value with the index that a compare-and-swap names. */
+/** A stored value with the index for a compare-and-swap. */
 export interface KvEntry {
   readonly key: string
   readonly value: string
@@ -16,15 +16,15 @@
   readonly modifyIndex: number
 }
 
-/** What a read saw. */
+/** Result of a read. */
 export interface KvRead {
   readonly entry: KvEntry | undefined
-  /** The store's index at the time, for the next watch. */
+  /** Index of the store at the time of the read, for the next watch. */
   readonly index: number
 }
 
 /**
- * Why a call gave no answer.
+ * Why a call failed.
  *
  * - `not-applied`: the service refused the call, so a write did not take effect.
  * - `unknown`: no reply came; a write may have taken effect.
@@ -34,10 +34,10 @@
   readonly message: string
 }
 
-/** Outcome of a compare-and-swap whose reply came. */
+/** Outcome of a compare-and-swap whose reply was received. */
 export type CasOutcome = 'stored' | 'conflict'
 
-/** What the rest of the system needs of the key-value service. */
+/** Operations of the key-value service that the system uses. */
 export interface KvClient {
   read: (key: string) => ResultAsync<KvRead, KvFailure>
   /** Waits until the key changes after `index`, at most `wait` ms. */
@@ -54,7 +54,7 @@
 const callTimeout: Ms = 1_000
 const connectionsLimit = 16
 
-/** Connection failures that happen before a byte of the call leaves. */
+/** Codes of connection failures that occur before any byte of the call is sent. */
 const neverSentCodes = new Set(['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT', 'ENOTFOUND', 'EHOSTUNREACH'])
 
 function toFailure (error: unknown): KvFailure {
@@ -71,10 +71,10 @@
 class ServiceError extends Error {}
 
 /**
- * Opens a client. Connections are made when first needed.
+ * Creates a client. Connections are opened on first use.
  *
  * @param url - base URL of the service
- * @param timeout - ms before a call counts as lost
+ * @param timeout - time-out of a call in ms
  */
 export function createKvClient (url: string, timeout: Ms = callTimeout): KvClient {
   const pool = new Pool(url, { connections: connectionsLimit, connect: { timeout }, headersTimeout: 0, bodyTimeout: 0 })
