--- a/packages/wire/src/lib/channel-options.ts
+++ b/packages/wire/src/lib/channel-options.ts
@@ -5,15 +5,15 @@
 const maxMessageBytes = 64 << 20
 const keepaliveMs = 10_000
 /**
- * HTTP/2's default window of 64 KB passes one window in each turn of a busy event
- * loop, about 3 MB/s, while a channel at its peak carries 12 MB/s. Credits for each
- * request bound what is on its way, so the window need not.
+ * With HTTP/2's default window of 64 KB a busy event loop transfers one window per turn, about
+ * 3 MB/s, while a channel carries up to 12 MB/s. The credit of each request already bounds the
+ * data in flight, so the window does not have to.
  */
 const flowControlWindow = 4 << 20
 
 /**
- * Retries and service config are off: one layer retries, and that is the entry, which
- * knows what may run twice.
+ * Retries and service config are disabled: only the entry retries, since it knows which
+ * requests may run twice.
  */
 export const channelOptions = {
   'grpc.enable_retries': 0,
--- a/packages/wire/src/lib/document-frame.ts
+++ b/packages/wire/src/lib/document-frame.ts
@@ -1,9 +1,9 @@
 /**
- * Configuration documents on the wire.
+ * Conversion of configuration documents to frames.
  */
 import type { ConfigDocument as WireDocument } from '../generated/channel.js'
 
-/** Fields that travel; the same names as in core's `ConfigDocument`. */
+/** Fields of a document that are sent; named as in core's `ConfigDocument`. */
 export interface DocumentFields {
   readonly revision: number
   readonly writeId: string
@@ -16,7 +16,7 @@
 /**
  * Copies a document into a frame.
  *
- * @param doc - a document of core
+ * @param doc - document to send, such as core's `ConfigDocument`
  */
 export function toWireDocument (doc: DocumentFields): WireDocument {
   const { revision, writeId, author, at, sha256, text } = doc
--- a/packages/wire/src/lib/frame-batcher.ts
+++ b/packages/wire/src/lib/frame-batcher.ts
@@ -2,18 +2,18 @@
  * Collects the frames of one turn of the event loop into one gRPC message.
  */
 
-/** What the batcher needs of a gRPC stream. */
+/** The part of a gRPC stream that the batcher uses. */
 export interface FrameStream<F> {
-  /** Sends a batch; false asks to hold back until {@link FrameBatcher.drained}. */
+  /** Sends a batch; returns false when no more may be sent until {@link FrameBatcher.drained}. */
   readonly write: (frames: F[]) => boolean
 }
 
 /**
  * Batches frames.
  *
- * A gRPC message costs about 30 microseconds whatever it holds, and a busy channel
- * carries tens of thousands of frames a second. Frames queued in one turn leave
- * together, which adds no wait to any of them.
+ * A gRPC message costs about 30 microseconds regardless of its content, and a busy channel
+ * carries tens of thousands of frames a second. Frames queued in one turn of the event loop are
+ * sent together, which delays none of them.
  */
 export class FrameBatcher<F> {
   private _queue: F[] = []
@@ -32,13 +32,13 @@
     setImmediate(() => this._flush())
   }
 
-  /** The stream takes data again. */
+  /** Continues after the stream has signalled that it accepts data again. */
   drained (): void {
     this._blocked = false
     this._flush()
   }
 
-  /** Sends what is queued and takes no more. */
+  /** Sends the queued frames and discards all later ones. */
   close (): void {
     this._blocked = false
     this._flush()
--- a/packages/wire/src/lib/sidecar-outbox.ts
+++ b/packages/wire/src/lib/sidecar-outbox.ts
@@ -1,28 +1,28 @@
 /**
- * What a sidecar sends over one connection.
+ * Send buffer of a sidecar for one connection.
  */
 import type { ChunkGroup, SidecarFrame } from '../generated/channel.js'
 import { FrameBatcher } from './frame-batcher.js'
 
-/** A piece of the answer to one request. */
+/** A chunk of the answer to one request. */
 export interface Chunk {
   readonly seq: number
-  /** From 0, without gaps. */
+  /** Position of the chunk in the answer, from 0 without gaps. */
   readonly index: number
   readonly data: Buffer
 }
 
 /**
- * Batches frames, and puts chunks that follow one another into one group.
+ * Batches frames, and collects consecutive chunks in one group.
  *
- * Chunks are nearly all that a busy sidecar sends, so each costs three array entries
- * here and no object of its own.
+ * Nearly all frames of a busy sidecar are chunks, so a chunk takes three array entries instead
+ * of an object of its own.
  */
 export class SidecarOutbox {
   private readonly _batcher: FrameBatcher<SidecarFrame>
   private _group: ChunkGroup | undefined
 
-  /** @param write - sends a batch; false asks to hold back */
+  /** @param write - sends a batch; returns false when no more may be sent until {@link SidecarOutbox.drained} */
   constructor (write: (frames: SidecarFrame[]) => boolean) {
     this._batcher = new FrameBatcher({
       write: frames => {
