--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Clock, verdicts, events, tasks and message types. No I/O.
+ * Clock, verdicts, events, tasks and the types that all packages share. No I/O.
  *
  * @packageDocumentation
  */
--- a/packages/core/src/lib/adapter-ref.ts
+++ b/packages/core/src/lib/adapter-ref.ts
@@ -1,14 +1,14 @@
 /**
- * Names an adapter in one version.
+ * References to one version of an adapter.
  */
 
-/** An adapter and the version a request runs on. */
+/** An adapter and the version that a request uses. */
 export interface AdapterRef {
   readonly name: string
   readonly version: string
 }
 
-/** `name@version`, the form used as a key and towards callers. */
+/** `name@version`, used as a key and in the interface for callers. */
 export type AdapterKey = string
 
 /**
@@ -22,7 +22,7 @@
 }
 
 /**
- * Splits what a caller wrote as `model`.
+ * Splits the `model` field of a caller's request.
  *
  * @param model - `name` or `name@version`
  * @returns the name, and the version when one was given
--- a/packages/core/src/lib/call-digest.ts
+++ b/packages/core/src/lib/call-digest.ts
@@ -1,14 +1,14 @@
 /**
- * Names a call by what it asks for.
+ * Identifies a call by its content.
  */
 import { createHash } from 'node:crypto'
 
 /**
- * Digest of a call, the same for each attempt at it.
+ * Digest of a call, the same for each of its attempts.
  *
  * @param method - HTTP method
  * @param path - path and query
- * @param body - bytes as sent
+ * @param body - body as sent
  * @returns 64 hexadecimal digits
  */
 export function callDigest (method: string, path: string, body: Uint8Array): string {
--- a/packages/core/src/lib/clock.ts
+++ b/packages/core/src/lib/clock.ts
@@ -1,29 +1,29 @@
 /**
- * The one notion of time: milliseconds, from a clock that a test can replace.
+ * Time in milliseconds, from a clock that tests can replace.
  */
 
 /** A duration or a point in time, in milliseconds. */
 export type Ms = number
 
-/** Ends a wait early when called. */
+/** Cancels a timer. */
 export type CancelTimer = () => void
 
 /**
- * Source of time for every part.
+ * Source of time for every component.
  *
- * Durations and deadlines use {@link Clock.now}, which never steps back. Only
- * what a person reads uses {@link Clock.wall}, which operators may set.
+ * Durations and deadlines within a process use {@link Clock.now}, which never steps back.
+ * Times that people read or that processes exchange use {@link Clock.wall}, which operators may set.
  */
 export interface Clock {
-  /** Monotonic time in ms. Its zero has no meaning. */
+  /** Monotonic time in ms from an arbitrary origin. */
   now: () => Ms
-  /** Time since 1970 in ms. May jump either way. */
+  /** Time since 1970 in ms. May jump forwards or backwards. */
   wall: () => Ms
   /**
-   * Calls back once after a delay.
+   * Calls a function once after a delay.
    *
    * @param delay - ms from now; a negative delay counts as 0
-   * @param run - called at most once
+   * @param run - function to call
    * @returns a function that cancels the call
    */
   after: (delay: Ms, run: () => void) => CancelTimer
@@ -43,7 +43,7 @@
 interface FakeTimer { readonly at: Ms, readonly order: number, readonly run: () => void }
 
 /**
- * A clock that moves only when told to.
+ * A clock for tests, whose time changes only by {@link FakeClock.advance}.
  *
  * @example
  * ```ts
@@ -67,9 +67,9 @@
   }
 
   /**
-   * Moves time forward and runs the timers that fall due, in order.
+   * Advances the time and runs the timers that become due, in order.
    *
-   * @param by - ms to move
+   * @param by - ms to advance
    */
   advance (by: Ms): void {
     const end = this._now + by
@@ -93,8 +93,8 @@
 /**
  * Waits on a clock.
  *
- * @param clock - whose time counts
- * @param delay - ms
+ * @param clock - clock that times the wait
+ * @param delay - ms to wait
  */
 export function sleep (clock: Clock, delay: Ms): Promise<void> {
   return new Promise(resolve => {
--- a/packages/core/src/lib/config-document.ts
+++ b/packages/core/src/lib/config-document.ts
@@ -3,11 +3,11 @@
  */
 import type { Ms } from './clock.js'
 
-/** A revision as it stands in the key-value service and travels between processes. */
+/** A revision as stored in the key-value service and sent between processes. */
 export interface ConfigDocument {
-  /** Grows by one with each accepted change; nobody goes to a lower one. */
+  /** Increases by one with each accepted change; no process goes back to a lower revision. */
   readonly revision: number
-  /** Random name of the write, by which a writer knows its own. */
+  /** Random id of the write, by which a writer recognises its own. */
   readonly writeId: string
   readonly author: string
   /** Wall time of the write. */
