--- a/packages/core/src/lib/event-ring.ts
+++ b/packages/core/src/lib/event-ring.ts
@@ -1,15 +1,15 @@
 /**
- * The last events of a process, in bounded memory.
+ * The most recent events of a process, in bounded memory.
  */
 import type { HlcStamp, HybridClock } from './hlc.js'
 
-/** What an event is about. */
+/** Kind of an event. */
 export type EventKind =
   | 'request-taken' | 'request-sent' | 'request-queued' | 'request-started' | 'request-ended' | 'request-retried'
   | 'request-withdrawn' | 'load-started' | 'load-ended' | 'unload' | 'claim' | 'fence' | 'channel-open'
   | 'channel-lost' | 'config' | 'drain' | 'leaving' | 'engine-cold' | 'process'
 
-/** What an event carries besides its kind and stamp. */
+/** Details of an event besides its kind and stamp. */
 export interface EventDetail {
   readonly request?: string
   readonly adapter?: string
@@ -18,7 +18,7 @@
   readonly note?: string
 }
 
-/** One entry of the time line. */
+/** One event of the timeline. */
 export interface TimelineEvent extends EventDetail {
   readonly stamp: HlcStamp
   readonly kind: EventKind
@@ -27,23 +27,23 @@
 const defaultCapacity = 4096
 
 /**
- * Ring of events. When full, the oldest goes and {@link EventRing.dropped} grows,
- * so that a reader can tell a quiet process from one that forgot.
+ * Ring buffer of events. When it is full, a new event overwrites the oldest one and increments
+ * {@link EventRing.dropped}, so that a reader can tell whether earlier events are missing.
  */
 export class EventRing {
   private readonly _events: TimelineEvent[] = []
   private _next = 0
 
-  /** How many events were overwritten. */
+  /** Number of overwritten events. */
   dropped = 0
 
   constructor (private readonly _hlc: HybridClock, private readonly _capacity = defaultCapacity) {}
 
   /**
-   * Records an event now.
+   * Records an event with the current stamp.
    *
-   * @param kind - what happened
-   * @param detail - to what
+   * @param kind - kind of the event
+   * @param detail - the request, adapter, upstream or peer concerned, and a note
    */
   add (kind: EventKind, detail: EventDetail = {}): void {
     const event = { stamp: this._hlc.tick(), kind, ...detail }
@@ -56,7 +56,7 @@
     this.dropped++
   }
 
-  /** All events held, oldest first. */
+  /** All recorded events, oldest first. */
   list (): readonly TimelineEvent[] {
     return [...this._events.slice(this._next), ...this._events.slice(0, this._next)]
   }
--- a/packages/core/src/lib/hlc.ts
+++ b/packages/core/src/lib/hlc.ts
@@ -11,7 +11,7 @@
 }
 
 /**
- * Issues stamps that grow with every local event and with every stamp received.
+ * Issues stamps that are greater than every earlier local stamp and every stamp received.
  *
  * Source: Kulkarni et al., "Logical Physical Clocks", 2014.
  */
@@ -20,7 +20,7 @@
 
   constructor (private readonly _clock: Clock) {}
 
-  /** Stamps a local event or a frame that is about to leave. */
+  /** Issues the stamp of a local event or of a batch that is about to be sent. */
   tick (): HlcStamp {
     const wall = Math.floor(this._clock.wall())
     this._last = wall > this._last.wall
@@ -30,9 +30,9 @@
   }
 
   /**
-   * Takes in the stamp of a frame, so that whatever follows here sorts after it.
+   * Observes the stamp of a received batch, so that later local stamps sort after it.
    *
-   * @param remote - the sender's stamp
+   * @param remote - stamp of the sender
    */
   observe (remote: HlcStamp): void {
     if (compareStamps(remote, this._last) > 0) this._last = remote
@@ -40,7 +40,7 @@
 }
 
 /**
- * Orders two stamps.
+ * Compares two stamps.
  *
  * @returns negative, 0 or positive, as for `Array.sort`
  */
--- a/packages/core/src/lib/ids.ts
+++ b/packages/core/src/lib/ids.ts
@@ -1,14 +1,14 @@
 /**
- * Random names.
+ * Random unique ids.
  */
 import { randomBytes } from 'node:crypto'
 
 const idBytes = 12
 
 /**
- * Makes a name that no other process makes.
+ * Generates a unique id.
  *
- * @param prefix - what the name is for, such as `req`
+ * @param prefix - kind of the thing identified, such as `req`
  * @returns the prefix, a hyphen and 96 random bits in hex
  */
 export function newId (prefix: string): string {
--- a/packages/core/src/lib/instant.ts
+++ b/packages/core/src/lib/instant.ts
@@ -1,40 +1,40 @@
 /**
- * Tells whether a process stood still between two moments.
+ * Detects whether the process was suspended between two instants.
  */
 import type { Clock, Ms } from './clock.js'
 
-/** One moment by both clocks. */
+/** One instant, read from both clocks. */
 export interface Instant {
-  /** Monotonic. */
+  /** Monotonic time. */
   readonly now: Ms
-  /** Time of day. */
+  /** Wall time. */
   readonly wall: Ms
 }
 
 /**
- * Difference between the clocks' courses that tells of a pause. The monotonic clock stands still while the machine is
- * suspended, the time of day goes on.
+ * Difference between the times elapsed on both clocks from which on the process counts as suspended. The monotonic clock stops
+ * while the host is suspended; the wall clock goes on.
  */
-const pauseSign: Ms = 250
+const suspensionThreshold: Ms = 250
 
 export function instantOf (clock: Clock): Instant { return { now: clock.now(), wall: clock.wall() } }
 
 /**
- * Ms between two moments, never less than the truth while the time of day is not set.
+ * Time between two instants in ms; never less than the true time unless an operator sets the wall clock.
  *
- * @returns infinite when the clocks can't tell
+ * @returns `Infinity` when the clocks disagree
  */
 export function elapsed (from: Instant, to: Instant): Ms {
-  // A suspension too short to be told from the clocks' own differences still counts by the time of day.
+  // A suspension shorter than the threshold can't be detected, but the wall clock includes it.
   return clocksAgree(from, to) ? Math.max(to.now - from.now, to.wall - from.wall) : Infinity
 }
 
 /**
- * Whether the monotonic clock alone tells the time between two moments.
+ * Whether both clocks advanced by the same time between two instants, so that the monotonic clock can be relied on.
  *
- * A process that was suspended thinks that no time has passed. A step of the time of day looks the same, and then only
- * asking anew can tell.
+ * During a suspension the monotonic clock does not advance. A step of the wall clock can't be distinguished from a suspension;
+ * in both cases the caller must check again whatever depends on the elapsed time.
  */
 export function clocksAgree (a: Instant, b: Instant): boolean {
-  return Math.abs((a.wall - a.now) - (b.wall - b.now)) < pauseSign
+  return Math.abs((a.wall - a.now) - (b.wall - b.now)) < suspensionThreshold
 }
--- a/packages/core/src/lib/log.ts
+++ b/packages/core/src/lib/log.ts
@@ -1,20 +1,20 @@
 /**
- * What a part needs of a logger. The daemon gives a bunyan logger; a test may
- * give a silent one.
+ * Interface of the logger. The daemon passes a bunyan logger; tests may pass one that
+ * discards all messages.
  */
 
-/** Parts of the system that write logs; each is the prefix of its lines. */
+/** Components that write logs; each name is the prefix of the component's messages. */
 export type LogPrefix =
   | 'entry' | 'sidecar' | 'channel' | 'config' | 'fence' | 'claims' | 'loads' | 'daemon' | 'operator'
   | 'store' | 'membership' | 'lease' | 'request' | 'peers' | 'usage'
 
-/** Writes short sentences with fields beside them. */
+/** Writes messages, each a short sentence with structured fields. */
 export interface Log {
   info: (prefix: LogPrefix, sentence: string, fields?: object) => void
   warn: (prefix: LogPrefix, sentence: string, fields?: object) => void
 }
 
-/** A logger that writes nothing. */
+/** A logger that discards all messages. */
 export const silentLog: Log = {
   info: () => {},
   warn: () => {}
--- a/packages/core/src/lib/task.ts
+++ b/packages/core/src/lib/task.ts
@@ -1,12 +1,12 @@
 /**
- * A task owns its state and its sockets; others only post messages to it.
+ * A task owns its state and its sockets; other code only posts messages to it.
  */
 
 /**
- * Runs a decision generator: one message in, a list of effects out.
+ * Runs a decision generator, which receives one message at a time and yields a list of effects.
  *
- * Messages posted while an effect is being performed wait their turn, so a
- * decision never sees its own state half changed.
+ * Messages posted while an effect is being performed are queued, so that the generator never
+ * sees a partially updated state.
  *
  * @typeParam M - messages in
  * @typeParam E - effects out
@@ -16,8 +16,8 @@
   private _busy = false
 
   /**
-   * @param _decide - the decisions; their first yield is the list of opening effects
-   * @param _perform - carries one effect out; it must not throw
+   * @param _decide - the decision generator; its first yield is the list of initial effects
+   * @param _perform - performs one effect; it must not throw
    */
   constructor (
     private readonly _decide: Generator<readonly E[], void, M>,
@@ -27,9 +27,9 @@
   }
 
   /**
-   * Hands a message to the decisions.
+   * Posts a message to the decision generator.
    *
-   * @param msg - processed at once, or after the message being processed
+   * @param msg - processed at once, or after the messages before it
    */
   post (msg: M): void {
     this._inbox.push(msg)
--- a/packages/core/src/lib/traffic-class.ts
+++ b/packages/core/src/lib/traffic-class.ts
@@ -5,14 +5,14 @@
 /** Classes from the most to the least urgent. */
 export const trafficClasses = ['receipt', 'booking', 'interactive', 'draft'] as const
 
-/** How urgent a request is. */
+/** Priority class of a request. */
 export type TrafficClass = typeof trafficClasses[number]
 
 /**
- * Position of a class: 0 is the most urgent. Receipts and bookings share a
- * position, since neither may wait for the other.
+ * Rank of a class: 0 is the most urgent. Receipts and bookings have the same
+ * rank, since neither may wait for the other.
  *
- * @param trafficClass - the class
+ * @param trafficClass - class to rank
  */
 export function classRank (trafficClass: TrafficClass): number {
   switch (trafficClass) {
@@ -24,10 +24,10 @@
 }
 
 /**
- * Reads a class.
+ * Parses a class.
  *
- * @param text - what a caller or a peer sent
- * @returns the class, or undefined for an unknown word
+ * @param text - class name that a caller or a peer sent
+ * @returns the class, or undefined for an unknown name
  */
 export function parseTrafficClass (text: string): TrafficClass | undefined {
   return trafficClasses.find(known => known === text)
--- a/packages/core/src/lib/verdict.ts
+++ b/packages/core/src/lib/verdict.ts
@@ -1,18 +1,18 @@
 /**
- * Whether a request may have run: the one question that decides on a retry.
+ * Verdicts: whether a request may have run, which decides whether it may be retried.
  */
 import type { Ms } from './clock.js'
 
 /**
  * What is known about the execution of a request.
  *
- * - `not-run`: it did not run and never will. It may be sent again freely.
- * - `may-have-run`: nobody can tell. Only an idempotent request may be sent again.
- * - `ran`: it ran, and the answer is its own.
+ * - `not-run`: it did not run and never will. It may always be sent again.
+ * - `may-have-run`: unknown. Only an idempotent request may be sent again.
+ * - `ran`: it ran, and the answer belongs to it.
  */
 export type Verdict = 'not-run' | 'may-have-run' | 'ran'
 
-/** Why a request ended without its answer. Callers see it as `error.code`. */
+/** Why a request ended without an answer. Callers receive it as `error.code`. */
 export type FailureCode =
   | 'bad-request' | 'unknown-model' | 'unknown-service' | 'too-large' | 'bad-deadline'
   | 'overloaded' | 'queue-deadline' | 'withdrawn' | 'leaving' | 'cold' | 'load-failed' | 'no-upstream'
@@ -20,12 +20,12 @@
   | 'deadline' | 'channel-lost' | 'sidecar-restarted' | 'upstream-lost' | 'wrong-adapter' | 'stream-incomplete'
   | 'retry-budget' | 'shutting-down' | 'internal' | 'quarantined'
 
-/** The end of a request that has no answer to give. */
+/** Outcome of a request without an answer. */
 export interface Failure {
   readonly verdict: Verdict
   readonly code: FailureCode
   readonly message: string
-  /** Ms after which a repeat may succeed; 0 when waiting does not help. */
+  /** Ms after which a retry may succeed; 0 when waiting does not help. */
   readonly retryAfter: Ms
 }
 
@@ -33,19 +33,19 @@
  * Builds a failure.
  *
  * @param verdict - whether the request may have run
- * @param code - the cause, for programs
- * @param message - the cause and the remedy, for people
- * @param retryAfter - ms until a repeat may succeed
+ * @param code - machine-readable cause
+ * @param message - cause and remedy for people
+ * @param retryAfter - ms until a retry may succeed
  */
 export function failure (verdict: Verdict, code: FailureCode, message: string, retryAfter: Ms = 0): Failure {
   return { verdict, code, message, retryAfter }
 }
 
 /**
- * Tells whether a request may be sent to another upstream.
+ * Whether a request may be sent to another upstream.
  *
- * @param verdict - what is known of the attempt that failed
- * @param idempotent - whether running twice does no harm
+ * @param verdict - verdict on the failed attempt
+ * @param idempotent - whether the request may run twice
  */
 export function mayResend (verdict: Verdict, idempotent: boolean): boolean {
   switch (verdict) {
@@ -56,10 +56,10 @@
 }
 
 /**
- * Reads a verdict from a frame.
+ * Parses the verdict of a frame.
  *
- * @param text - what the peer sent
- * @returns the verdict; `may-have-run` for an unknown word, the only reading that does no harm
+ * @param text - verdict that the peer sent
+ * @returns the verdict; `may-have-run` for an unknown one, the only safe assumption
  */
 export function parseVerdict (text: string): Verdict {
   return text === 'not-run' || text === 'ran' ? text : 'may-have-run'
