--- a/packages/config/src/lib/check-references.ts
+++ b/packages/config/src/lib/check-references.ts
@@ -27,7 +27,7 @@
   return problems
 }
 
-/** Follows dependencies from one service and returns the first cycle met. */
+/** Follows dependencies from the last service of a path and returns the first cycle found. */
 function findCycle (raw: RawConfig, path: readonly string[]): readonly string[] | undefined {
   const current = path[path.length - 1]!
   for (const dependency of raw.services[current]?.depends_on ?? []) {
@@ -83,10 +83,10 @@
 }
 
 /**
- * Checks everything that one key alone cannot show.
+ * Checks the references between keys, which a schema can't check.
  *
- * @param raw - a configuration of the right shape
- * @param lines - where its keys stand
+ * @param raw - a configuration that matches the schema
+ * @param lines - line of each key
  * @returns every problem found
  */
 export function checkReferences (raw: RawConfig, lines: Lines): readonly Problem[] {
--- a/packages/config/src/lib/checked-text.ts
+++ b/packages/config/src/lib/checked-text.ts
@@ -1,5 +1,5 @@
 /**
- * Reads a TOML text against a schema and reports every problem at once.
+ * Parses a TOML text, validates it against a schema and reports every problem at once.
  */
 import { err, ok, type Result } from 'neverthrow'
 import { parse, TomlError } from 'smol-toml'
@@ -8,13 +8,13 @@
 import { nearestName } from './nearest-name.js'
 import type { Problem } from './problem.js'
 
-/** A checked value and where its keys stand. */
+/** A validated value and the line of each of its keys. */
 export interface CheckedText<T> {
   readonly value: T
   readonly lines: ReadonlyMap<string, number>
 }
 
-/** What a text must look like; both flavours of zod schemas fit. */
+/** Schema of a text; schemas of zod and zod/mini both fit. */
 export interface TextSchema<T> {
   readonly safeParse: (raw: unknown) =>
     | { readonly success: true, readonly data: T }
@@ -36,11 +36,11 @@
 }
 
 /**
- * Parses and checks a text.
+ * Parses and validates a text.
  *
- * @param text - TOML
- * @param schema - what it must look like
- * @param known - names of keys, for suggestions
+ * @param text - TOML text
+ * @param schema - schema of the text
+ * @param known - known key names, for suggestions
  * @returns the value, or every problem found
  */
 export function checkText<T> (text: string, schema: TextSchema<T>, known: readonly string[]): Result<CheckedText<T>, readonly Problem[]> {
--- a/packages/config/src/lib/config-state.ts
+++ b/packages/config/src/lib/config-state.ts
@@ -1,15 +1,15 @@
 /**
- * The configuration in force at a process.
+ * The configuration in force in a process.
  */
 import type { ConfigDocument, EventRing, Log } from '@hazelford/core'
 import { RevisionHolder } from '@hazelford/decisions'
 import { type Config, parseConfig } from './config.js'
 import { textDigest } from './document.js'
 
-/** Hears of each new revision. */
+/** Called with each new revision. */
 export type ConfigListener = (config: Config, doc: ConfigDocument) => void
 
-/** Takes documents from any source and puts the newest in force. */
+/** Receives configuration documents from any source and puts the newest in force. */
 export class ConfigState {
   private readonly _holder = new RevisionHolder()
   private readonly _listeners: ConfigListener[] = []
@@ -21,22 +21,22 @@
   get revision (): number { return this._holder.revision }
   get document (): ConfigDocument | undefined { return this._holder.current }
 
-  /** Calls back on each later change. */
+  /** Adds a listener for later changes. */
   onChange (listener: ConfigListener): void { this._listeners.push(listener) }
 
   /**
-   * Offers a document.
+   * Puts a document in force if it is newer, undamaged and valid.
    *
-   * @param doc - from the key-value service or from a peer
-   * @param source - for the log
-   * @returns whether it is now in force
+   * @param doc - document from the key-value service or a peer
+   * @param source - where the document came from, for the log
+   * @returns whether the document is now in force
    */
   offer (doc: ConfigDocument, source: string): boolean {
     if (doc.revision <= this.revision || doc.sha256 !== textDigest(doc.text)) return false
     const parsed = parseConfig(doc.text)
     if (parsed.isErr()) {
-      // A newer program may have accepted what this one can't read. Going on with the
-      // old decision is safe; the status page shows the revision that lags.
+      // A newer program version may have accepted a document that this version can't parse.
+      // Keeping the old configuration is safe; the status shows that the revision lags.
       this._log.warn('config', 'revision not understood.', { revision: doc.revision, source, problems: parsed.error })
       return false
     }
--- a/packages/config/src/lib/config.ts
+++ b/packages/config/src/lib/config.ts
@@ -1,5 +1,5 @@
 /**
- * The configuration that the processes work with.
+ * The validated configuration.
  */
 import { type AdapterRef, classRank, type TrafficClass } from '@hazelford/core'
 import { err, ok, type Result } from 'neverthrow'
@@ -8,34 +8,34 @@
 import type { Problem } from './problem.js'
 import { configKeys, configSchema, type Policy, type RawConfig } from './schema.js'
 
-/** A service: upstreams that answer alike. */
+/** A service: a group of interchangeable upstreams. */
 export interface Service {
   readonly name: string
   readonly kind: 'model' | 'plain'
   readonly dependsOn: readonly string[]
-  /** Class of a request that names none, after inheritance from dependants. */
+  /** Class of a request that requests none, after inheritance from dependants. */
   readonly trafficClass: TrafficClass
-  /** Most urgent class that a caller may ask for. */
+  /** Most urgent class that a caller may request. */
   readonly highestClass: TrafficClass
-  /** Calls that may run twice, as `METHOD /prefix`; `*` stands for any method. */
+  /** Calls that may run twice, as `METHOD /prefix`; `*` matches any method. */
   readonly idempotentCalls: readonly string[]
   readonly deadlineMs: number
   readonly maxDeadlineMs: number
   readonly queueLimit: number
 }
 
-/** One upstream as the operators describe it. */
+/** One upstream, as configured by the operators. */
 export interface Upstream {
   readonly name: string
   readonly service: string
-  /** Whether the engine refuses orders with an old fencing number. */
+  /** Whether the engine refuses load and unload orders with an old fencing number. */
   readonly fencing: 'checked' | 'ignored'
   readonly slots: number
   readonly places: number
   readonly drained: boolean
 }
 
-/** An adapter: the version in force and the ones that may still be asked for. */
+/** An adapter: its default version and all versions that may be requested. */
 export interface Adapter {
   readonly name: string
   readonly version: string
@@ -43,7 +43,7 @@
   readonly service: string
 }
 
-/** A whole checked configuration. */
+/** A complete, validated configuration. */
 export interface Config {
   readonly policy: Policy
   readonly services: ReadonlyMap<string, Service>
@@ -55,7 +55,7 @@
   return classRank(a) <= classRank(b) ? a : b
 }
 
-/** Gives each dependency the most urgent class among those that depend on it. */
+/** Raises the class of each dependency to the most urgent class of its dependants. */
 function inheritClasses (raw: RawConfig): ReadonlyMap<string, TrafficClass> {
   const classes = new Map(Object.entries(raw.services).map(([name, service]) => [name, service.class]))
   const raise = (name: string, to: TrafficClass): void => {
@@ -109,9 +109,9 @@
 }
 
 /**
- * Checks a configuration text.
+ * Parses and validates a configuration text.
  *
- * @param text - TOML
+ * @param text - TOML text
  * @returns the configuration, or every problem found with its line
  */
 export function parseConfig (text: string): Result<Config, readonly Problem[]> {
@@ -124,9 +124,9 @@
 }
 
 /**
- * Tells whether a call may run twice.
+ * Whether a call may run twice.
  *
- * @param service - the service called
+ * @param service - service that is called
  * @param method - HTTP method
  * @param path - path below the service, from `/`
  */
@@ -138,11 +138,11 @@
 }
 
 /**
- * Finds what a caller's `model` names.
+ * Finds the adapter and version that a caller's `model` refers to.
  *
- * @param config - in force when the request came
- * @param name - adapter
- * @param version - version asked for; undefined takes the one in force
+ * @param config - configuration in force when the request arrived
+ * @param name - name of the adapter
+ * @param version - requested version; undefined for the default version
  * @returns the reference, or undefined when the configuration has no such adapter or version
  */
 export function findAdapter (config: Config, name: string, version?: string): AdapterRef | undefined {
--- a/packages/config/src/lib/document.ts
+++ b/packages/config/src/lib/document.ts
@@ -1,13 +1,13 @@
 /**
- * A revision of the configuration: building, reading and checking it.
+ * Builds, parses and verifies revisions of the configuration.
  */
 import { createHash } from 'node:crypto'
 import { type ConfigDocument, newId, type Ms } from '@hazelford/core'
 import { z } from 'zod'
 
-/** Where the configuration stands in the key-value service. */
+/** Key of the current configuration in the key-value service. */
 export const configKey = 'hazelford/config'
-/** Earlier revisions stand below this prefix, by number. */
+/** Key prefix of earlier revisions, followed by the revision number. */
 export const historyPrefix = 'hazelford/config-history/'
 
 const documentSchema = z.object({
@@ -20,7 +20,7 @@
 })
 
 /**
- * Fingerprint of a text.
+ * Digest of a text, to detect damage.
  *
  * @param text - the TOML text
  * @returns SHA-256 in hex
@@ -32,9 +32,9 @@
 /**
  * Builds the next revision.
  *
- * @param previous - revision number that it replaces; 0 for the first
- * @param text - checked TOML text
- * @param author - who changes it
+ * @param previous - number of the revision that it replaces; 0 for the first
+ * @param text - validated TOML text
+ * @param author - author of the change
  * @param at - wall time in ms
  */
 export function nextDocument (previous: number, text: string, author: string, at: Ms): ConfigDocument {
@@ -42,7 +42,7 @@
 }
 
 /**
- * Reads a stored document.
+ * Parses a stored document.
  *
  * @param json - value of {@link configKey}
  * @returns the document, or undefined when it is damaged
@@ -50,8 +50,8 @@
 export function readDocument (json: string): ConfigDocument | undefined {
   try {
     const doc = documentSchema.parse(JSON.parse(json))
-    // A document whose text was cut or mixed with another would put a decision in
-    // force that no operator made. The digest shows it, and the reader keeps what it has.
+    // A truncated or mixed-up text would put a configuration in force that no operator wrote.
+    // The digest detects this; the reader then keeps the revision that it has.
     return doc.sha256 === textDigest(doc.text) ? doc : undefined
   } catch {
     return undefined
