--- a/packages/config/src/lib/line-index.ts
+++ b/packages/config/src/lib/line-index.ts
@@ -1,11 +1,11 @@
 /**
- * Finds the line of a key. The TOML library gives values without positions.
+ * Finds the line of a key, since the TOML library returns values without positions.
  */
 
 const tableHeader = /^\s*\[\[?([^\]]+)\]\]?/
 const keyLine = /^\s*("[^"]*"|[\w.-]+)\s*=/
 
-/** Removes quotes and blanks around the parts of a dotted name. */
+/** Removes quotes and white space from a dotted name. */
 function plainPath (dotted: string): string {
   return dotted.replaceAll(/["'\s]/g, '')
 }
@@ -14,7 +14,7 @@
  * Maps dotted paths to lines.
  *
  * @param text - TOML text
- * @returns 1-based line by path; a table stands at its header
+ * @returns 1-based line by path; for a table the line of its header
  */
 export function indexLines (text: string): ReadonlyMap<string, number> {
   const lines = new Map<string, number>()
@@ -35,11 +35,11 @@
 }
 
 /**
- * Line of a path, or of the nearest table around it.
+ * Line of a path, or of the nearest enclosing table.
  *
  * @param lines - from {@link indexLines}
  * @param path - the key's parts
- * @returns a 1-based line, or 0
+ * @returns the 1-based line, or 0 when neither the path nor an enclosing table is in the text
  */
 export function lineOf (lines: ReadonlyMap<string, number>, path: readonly PropertyKey[]): number {
   for (let length = path.length; length > 0; length--) {
--- a/packages/config/src/lib/nearest-name.ts
+++ b/packages/config/src/lib/nearest-name.ts
@@ -1,8 +1,8 @@
 /**
- * Suggests the name that was probably meant.
+ * Suggests the known name that is closest to an unknown one.
  */
 
-/** Number of single-character edits between two words. */
+/** Levenshtein distance between two names. */
 function editDistance (a: string, b: string): number {
   let row = Array.from({ length: b.length + 1 }, (_, i) => i)
   for (let i = 1; i <= a.length; i++) {
@@ -17,11 +17,11 @@
 }
 
 /**
- * Picks the known name closest to a wrong one.
+ * Finds the known name closest to an unknown one.
  *
- * @param wrong - what was written
- * @param known - names that would be right
- * @returns the closest, or undefined when none is close
+ * @param wrong - the unknown name
+ * @param known - all known names
+ * @returns the closest name, or undefined when none is within half of the name's length
  */
 export function nearestName (wrong: string, known: readonly string[]): string | undefined {
   const limit = Math.max(1, Math.floor(wrong.length / 2))
--- a/packages/config/src/lib/schema.ts
+++ b/packages/config/src/lib/schema.ts
@@ -1,5 +1,5 @@
 /**
- * Shape of the operators' configuration.
+ * Schema of the operators' configuration.
  */
 import { trafficClasses } from '@hazelford/core'
 import { z } from 'zod'
@@ -68,7 +68,7 @@
   ...Object.keys(adapterTable.shape)
 ]
 
-/** Weights and limits of the decisions. */
+/** Weights and limits used in routing, retries and adapter loads. */
 export type Policy = z.infer<typeof policySchema>
-/** The configuration as written, with defaults filled in. */
+/** The configuration as written, with defaults applied. */
 export type RawConfig = z.infer<typeof configSchema>
--- a/packages/config/src/lib/settings-page.ts
+++ b/packages/config/src/lib/settings-page.ts
@@ -1,5 +1,5 @@
 /**
- * The reference page of settings and configuration, made from their schemas.
+ * Generates the reference page of settings and configuration from their schemas.
  */
 import { z } from 'zod'
 import { configSchema } from './schema.js'
@@ -46,7 +46,7 @@
 
 const head = '| key | value | default |\n|---|---|---|'
 
-/** Writes the page. */
+/** Generates the page as Markdown. */
 export function settingsPage (): string {
   const toJson = (schema: z.ZodType): JsonSchema => z.toJSONSchema(schema, { io: 'input' }) as JsonSchema
   const roles = toJson(settingsSchema).oneOf ?? toJson(settingsSchema).anyOf ?? []
--- a/packages/config/src/lib/settings.ts
+++ b/packages/config/src/lib/settings.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of one daemon: what a process must know before it can reach anybody.
+ * Settings of one daemon: values that a process needs before it can connect to other processes.
  */
 import { err, ok, type Result } from 'neverthrow'
 import { z } from 'zod'
@@ -52,9 +52,9 @@
 const settingsKeys = [...Object.keys(entrySchema.shape), ...Object.keys(sidecarSchema.shape)]
 
 /**
- * Checks a settings text.
+ * Parses and validates a settings text.
  *
- * @param text - TOML
+ * @param text - TOML text
  * @returns the settings, or every problem found with its line
  */
 export function parseSettings (text: string): Result<Settings, readonly Problem[]> {
--- a/packages/config/src/test/texts.feature
+++ b/packages/config/src/test/texts.feature
@@ -1,6 +1,6 @@
-Feature: texts with mistakes are refused whole, with every mistake named
+Feature: an invalid text is rejected completely, and every mistake in it is reported
 
-  Scenario Outline: a wrong configuration
+  Scenario Outline: an invalid configuration
     Given the configuration text:
       """
       [services.chat]
@@ -40,7 +40,7 @@
     Then service "stock" has class "receipt"
     And service "check" has class "receipt"
 
-  Scenario: wrong settings name every mistake at once
+  Scenario: all mistakes in invalid settings are reported at once
     Given the settings text:
       """
       role = "sidecar"
@@ -55,4 +55,4 @@
     Then the settings have 3 problems, at lines "4, 6, 8"
 
   Scenario: the reference page
-    Then docs/SETTINGS.md is what the schemas give
+    Then docs/SETTINGS.md matches the schemas
--- a/packages/config/src/test/texts.steps.ts
+++ b/packages/config/src/test/texts.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of checked texts.
+ * Step definitions for the validation of configuration and settings texts.
  */
 import assert from 'node:assert/strict'
 import { readFileSync } from 'node:fs'
@@ -30,6 +30,6 @@
   assert.equal(problems.map(problem => problem.line).join(', '), lines)
 })
 
-Then('docs\\/SETTINGS.md is what the schemas give', () => {
+Then('docs\\/SETTINGS.md matches the schemas', () => {
   assert.equal(readFileSync('docs/SETTINGS.md', 'utf8'), settingsPage())
 })
