--- a/packages/daemon/bin/hazelfordd.js
+++ b/packages/daemon/bin/hazelfordd.js
@@ -1,3 +1,3 @@
 #!/usr/bin/env node
-// Stands in the tree before the build, so that an install can link it.
+// Committed rather than built, so that npm can link it before the first build.
 import '../dist/main.js'
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The daemon as a library: settings in, a running process out.
+ * The daemon as a library, for launchers and tests.
  *
  * @packageDocumentation
  */
--- a/packages/daemon/src/lib/process-parts.ts
+++ b/packages/daemon/src/lib/process-parts.ts
@@ -1,5 +1,5 @@
 /**
- * Parts that every daemon has, whatever its role.
+ * Components that every daemon has, independent of its role.
  */
 import { type Clock, EventRing, HybridClock, type Log, systemClock } from '@hazelford/core'
 import type { Settings } from '@hazelford/config'
@@ -8,7 +8,7 @@
 import { createBunyanLog } from './bunyan-log.js'
 import { createStatsdMeter } from './statsd-meter.js'
 
-/** Clock, logs, metrics, events and the key-value service. */
+/** Clock, log, metrics, events and the client of the key-value service. */
 export interface ProcessParts {
   readonly clock: Clock
   readonly log: Log
@@ -19,9 +19,9 @@
 }
 
 /**
- * Builds the common parts.
+ * Creates the common components.
  *
- * @param settings - of the daemon
+ * @param settings - settings of the daemon
  */
 export function createProcessParts (settings: Settings): ProcessParts {
   const hlc = new HybridClock(systemClock)
--- a/packages/daemon/src/lib/run-daemon.ts
+++ b/packages/daemon/src/lib/run-daemon.ts
@@ -1,5 +1,5 @@
 /**
- * Runs one daemon in the role that its settings give.
+ * Runs one daemon in the role that its settings specify.
  */
 import { assertNever } from '@hazelford/core'
 import type { EntrySettings, Settings, SidecarSettings } from '@hazelford/config'
@@ -10,11 +10,11 @@
 import { createProcessParts, type ProcessParts } from './process-parts.js'
 import { serveOperators } from './serve-operators.js'
 
-/** A daemon that runs. */
+/** A running daemon. */
 export interface RunningDaemon {
   readonly port: number
   readonly operatorPort: number
-  /** Leaves without cutting off a request. */
+  /** Shuts down gracefully: finishes the open requests first. */
   readonly shutdown: () => Promise<void>
 }
 
@@ -72,8 +72,8 @@
 /**
  * Starts a daemon.
  *
- * @param settings - checked settings
- * @returns once it listens
+ * @param settings - validated settings
+ * @returns the daemon, once it listens
  */
 export async function runDaemon (settings: Settings): Promise<RunningDaemon> {
   const parts = createProcessParts(settings)
--- a/packages/daemon/src/lib/serve-operators.ts
+++ b/packages/daemon/src/lib/serve-operators.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' interface: apart from callers, behind a token, read only.
+ * The read-only HTTP interface for operators, on a port of its own and protected by a token.
  */
 import { createHash, timingSafeEqual } from 'node:crypto'
 import type { Server } from 'node:http'
@@ -8,13 +8,13 @@
 import { createAdaptorServer } from '@hono/node-server'
 import { Hono } from 'hono'
 
-/** What the interface shows. */
+/** Data that the interface serves. */
 export interface OperatorView {
   readonly status: () => object
   readonly events: EventRing
 }
 
-/** A listening interface. */
+/** The listening HTTP server for operators. */
 export interface OperatorServer {
   readonly port: number
   readonly close: () => void
@@ -24,18 +24,18 @@
 
 function digest (text: string): Buffer { return createHash('sha256').update(text).digest() }
 
-/** Compares in constant time, so that response times tell nothing of the token. */
+/** Compares in constant time, so that response times reveal nothing about the token. */
 function sameToken (given: string, token: string): boolean {
   return timingSafeEqual(digest(given), digest(token))
 }
 
 /**
- * Serves operators.
+ * Starts the HTTP server for operators.
  *
- * @param view - what to show
- * @param token - secret that a request must bear
+ * @param view - data to serve
+ * @param token - bearer token that a request must send
  * @param host - address to listen on
- * @param port - 0 lets the kernel choose
+ * @param port - port to listen on; 0 lets the kernel choose one
  */
 export async function serveOperators (view: OperatorView, token: string, host: string, port: number): Promise<OperatorServer> {
   const app = new Hono()
--- a/packages/daemon/src/lib/statsd-meter.ts
+++ b/packages/daemon/src/lib/statsd-meter.ts
@@ -1,5 +1,5 @@
 /**
- * Metrics to a StatsD server, by hot-shots.
+ * Sends metrics to a StatsD server with hot-shots.
  */
 import { StatsD } from 'hot-shots'
 import { type Meter, silentMeter } from '@hazelford/sidecar'
@@ -11,10 +11,10 @@
 }
 
 /**
- * Builds a meter.
+ * Creates a meter.
  *
- * @param address - undefined measures nothing
- * @param tags - on every metric
+ * @param address - address of the StatsD server; undefined discards all values
+ * @param tags - tags of every metric
  */
 export function createStatsdMeter (address: StatsdAddress | undefined, tags: Record<string, string>): Meter {
   if (address === undefined) return silentMeter
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `hazelfordd`: one process of the system.
+ * The `hazelfordd` program, which runs one process of the system.
  */
 import { readFileSync } from 'node:fs'
 import { formatProblems, parseSettings, type Settings } from '@hazelford/config'
@@ -26,7 +26,7 @@
 
 async function run (settings: Settings): Promise<void> {
   const daemon = await runDaemon(settings)
-  // The one line on standard output: where the daemon listens, for launchers.
+  // The only line on standard output: the ports of the daemon, for launchers.
   process.stdout.write(`${JSON.stringify({ name: settings.name, port: daemon.port, operatorPort: daemon.operatorPort })}\n`)
   let leaving = false
   const leave = (): void => {
@@ -36,7 +36,7 @@
   }
   process.on('SIGTERM', leave)
   process.on('SIGINT', leave)
-  // Timers of the clock do not keep a process alive; the daemon runs until a signal.
+  // Timers of the clock do not keep the process alive; this timer does, until a signal ends the daemon.
   setInterval(() => {}, 1 << 30)
 }
 
@@ -55,7 +55,7 @@
     const settings = readSettings(options.settings)
     if (settings === undefined) process.exit(exitBadSettings)
     if (options.check === true) {
-      process.stdout.write('settings are right.\n')
+      process.stdout.write('settings are valid.\n')
       return
     }
     run(settings).catch((cause: Error) => {
