--- a/packages/consul/src/lib/host-list.ts
+++ b/packages/consul/src/lib/host-list.ts
@@ -65,11 +65,11 @@
 export function createHostListClient (url: string): HostListClient {
   const pool = new Pool(url, { connections: 2, headersTimeout: 0, bodyTimeout: 0 })
   const load = async (index: number, wait: Ms, signal?: AbortSignal): Promise<HostList> => {
-    const timed = AbortSignal.timeout(wait + callTimeout)
+    const timeoutSignal = AbortSignal.timeout(wait + callTimeout)
     const res = await pool.request({
       method: 'GET',
       path: `/v1/health/service/${hostServiceName}?index=${index}&wait=${wait}ms`,
-      signal: signal === undefined ? timed : AbortSignal.any([timed, signal])
+      signal: signal === undefined ? timeoutSignal : AbortSignal.any([timeoutSignal, signal])
     })
     if (res.statusCode !== 200) throw new Error(`The host list answered ${res.statusCode}.`)
     const wires = await res.body.json() as WireHost[]
--- a/packages/consul/src/lib/kv-client.ts
+++ b/packages/consul/src/lib/kv-client.ts
@@ -80,8 +80,8 @@
   const pool = new Pool(url, { connections: connectionsLimit, connect: { timeout }, headersTimeout: 0, bodyTimeout: 0 })
 
   async function call (method: Dispatcher.HttpMethod, path: string, limit: Ms, body?: string, signal?: AbortSignal): Promise<Dispatcher.ResponseData> {
-    const timed = AbortSignal.timeout(limit)
-    const res = await pool.request({ method, path, body, signal: signal === undefined ? timed : AbortSignal.any([timed, signal]) })
+    const timeoutSignal = AbortSignal.timeout(limit)
+    const res = await pool.request({ method, path, body, signal: signal === undefined ? timeoutSignal : AbortSignal.any([timeoutSignal, signal]) })
     if (res.statusCode >= 500) {
       await res.body.dump()
       throw new ServiceError(`The key-value service answered ${res.statusCode}.`)
--- a/packages/core/src/lib/clock.ts
+++ b/packages/core/src/lib/clock.ts
@@ -29,7 +29,7 @@
   after: (delay: Ms, run: () => void) => CancelTimer
 }
 
-/** The clock of this machine. Its timers do not keep the process alive. */
+/** The clock of this host. Its timers do not keep the process alive. */
 export const systemClock: Clock = {
   now: () => performance.now(),
   wall: () => Date.now(),
--- a/packages/core/src/lib/key-digest.ts
+++ b/packages/core/src/lib/key-digest.ts
@@ -10,7 +10,7 @@
 const digestHexDigits = 32
 
 /** Digits that logs show: enough to distinguish the keys of one organisation, too few to look a key up. */
-const shownHexDigits = 8
+const abbreviatedHexDigits = 8
 
 /**
  * Digest of a key.
@@ -24,4 +24,4 @@
 }
 
 /** The first digits of a digest, for logs. */
-export function abbreviateKeyDigest (digest: KeyDigest): string { return digest.slice(0, shownHexDigits) }
+export function abbreviateKeyDigest (digest: KeyDigest): string { return digest.slice(0, abbreviatedHexDigits) }
--- a/packages/core/src/lib/log.ts
+++ b/packages/core/src/lib/log.ts
@@ -10,8 +10,8 @@
 
 /** Writes messages, each a short sentence with structured fields. */
 export interface Log {
-  info: (prefix: LogPrefix, sentence: string, fields?: object) => void
-  warn: (prefix: LogPrefix, sentence: string, fields?: object) => void
+  info: (prefix: LogPrefix, message: string, fields?: object) => void
+  warn: (prefix: LogPrefix, message: string, fields?: object) => void
 }
 
 /** A logger that discards all messages. */
--- a/packages/core/src/lib/task.ts
+++ b/packages/core/src/lib/task.ts
@@ -16,14 +16,14 @@
   private _busy = false
 
   /**
-   * @param _decide - the decision generator; its first yield is the list of initial effects
+   * @param _generator - the decision generator; its first yield is the list of initial effects
    * @param _perform - performs one effect; it must not throw
    */
   constructor (
-    private readonly _decide: Generator<readonly E[], void, M>,
+    private readonly _generator: Generator<readonly E[], void, M>,
     private readonly _perform: (effect: E) => void
   ) {
-    this._apply(this._decide.next())
+    this._apply(this._generator.next())
   }
 
   /**
@@ -37,7 +37,7 @@
     this._busy = true
     try {
       for (let next = this._inbox.shift(); next !== undefined; next = this._inbox.shift()) {
-        this._apply(this._decide.next(next))
+        this._apply(this._generator.next(next))
       }
     } finally {
       this._busy = false
--- a/packages/daemon/src/lib/bunyan-log.ts
+++ b/packages/daemon/src/lib/bunyan-log.ts
@@ -12,9 +12,9 @@
  */
 export function createBunyanLog (name: string, level: 'debug' | 'info' | 'warn' | 'error'): Log {
   const logger = bunyan.createLogger({ name, level, stream: process.stderr })
-  const formatMessage = (prefix: LogPrefix, sentence: string): string => `${prefix}: ${sentence}`
+  const formatMessage = (prefix: LogPrefix, message: string): string => `${prefix}: ${message}`
   return {
-    info: (prefix, sentence, fields = {}) => logger.info(fields, formatMessage(prefix, sentence)),
-    warn: (prefix, sentence, fields = {}) => logger.warn(fields, formatMessage(prefix, sentence))
+    info: (prefix, message, fields = {}) => logger.info(fields, formatMessage(prefix, message)),
+    warn: (prefix, message, fields = {}) => logger.warn(fields, formatMessage(prefix, message))
   }
 }
--- a/packages/entry/src/lib/serve-callers.ts
+++ b/packages/entry/src/lib/serve-callers.ts
@@ -12,7 +12,7 @@
 import { type Call, readBody, readCompletion, readPlainCall } from './call-reader.js'
 import type { Entry } from './entry.js'
 
-interface Raw { Bindings: HttpBindings }
+interface AppEnv { Bindings: HttpBindings }
 
 /** The listening HTTP server for callers. */
 export interface CallerServer {
@@ -27,11 +27,11 @@
 
 type ReadCall = (body: Buffer, config: Config) => Result<Call, Failure>
 
-function noConfig (): Failure {
+function noConfigFailure (): Failure {
   return failure('not-run', 'no-upstream', 'No configuration is known yet. Send the request again later.', 1_000)
 }
 
-async function handle (entry: Entry, c: Context<Raw>, read: ReadCall): Promise<Response> {
+async function handle (entry: Entry, c: Context<AppEnv>, read: ReadCall): Promise<Response> {
   const req = c.env.incoming as IncomingMessage
   const res = c.env.outgoing as ServerResponse
   const body = await readBody(req, entry.options.maxBodyBytes)
@@ -41,7 +41,7 @@
     res.setHeader('connection', 'close')
     entry.refuse(res, body.error)
   } else if (config === undefined) {
-    entry.refuse(res, noConfig())
+    entry.refuse(res, noConfigFailure())
   } else {
     read(body.value, config).match(call => entry.run(call, res), cause => entry.refuse(res, cause))
   }
@@ -63,8 +63,8 @@
   return { name: rest.slice(0, end), path: path.startsWith('/') ? path : `/${path}` }
 }
 
-function createApp (entry: Entry): Hono<Raw> {
-  const app = new Hono<Raw>()
+function createApp (entry: Entry): Hono<AppEnv> {
+  const app = new Hono<AppEnv>()
   for (const path of ['/v1/completions', '/v1/chat/completions']) {
     app.post(path, c => handle(entry, c, (body, config) => readCompletion(c.env.incoming as IncomingMessage, path, body, config)))
   }
