--- a/packages/entry/src/lib/config-watch.ts
+++ b/packages/entry/src/lib/config-watch.ts
@@ -68,6 +68,6 @@
    */
   private async _putBack (held: ConfigDocument, index: number): Promise<void> {
     const written = await this._options.kv.cas(configKey, index, JSON.stringify(held))
-    if (written.isOk()) this._options.log.info('config', 'store brought up to date.', { revision: held.revision, outcome: written.value })
+    if (written.isOk()) this._options.log.info('config', 'newest revision written back to the store.', { revision: held.revision, outcome: written.value })
   }
 }
--- a/packages/entry/src/lib/entry.ts
+++ b/packages/entry/src/lib/entry.ts
@@ -67,7 +67,7 @@
   start (): void {
     const { events, name, log } = this.options
     events.add('process', { note: `entry ${name} starts` })
-    const failed = (cause: Error): void => log.warn('entry', 'watch ended.', { error: cause.message })
+    const failed = (cause: Error): void => log.warn('entry', 'watch of the configuration or the host list failed.', { error: cause.message })
     this._watch.run().catch(failed)
     this.directory.run().catch(failed)
   }
