--- a/packages/consul/src/lib/host-list.ts
+++ b/packages/consul/src/lib/host-list.ts
@@ -9,20 +9,20 @@
 import { Pool } from 'undici'
 import type { KvFailure } from './kv-client.js'
 
-/** A host as the platform lists it. The list lags behind reality. */
+/** A host as the platform lists it. The list may be out of date. */
 export interface Host {
   readonly name: string
   readonly role: 'entry' | 'sidecar'
   readonly zone: string
-  /** Where its processes listen for one another. */
+  /** Address at which its processes listen for other processes of the system. */
   readonly address: string
   readonly port: number
-  /** Operator interface. */
+  /** Port of the operator interface. */
   readonly operatorPort: number
   readonly state: 'live' | 'leaving'
 }
 
-/** The list at one index. */
+/** The host list at one index. */
 export interface HostList {
   readonly hosts: readonly Host[]
   readonly index: number
@@ -51,25 +51,25 @@
   }
 }
 
-/** What the rest of the system needs of the host list. */
+/** Operations of the host list that the system uses. */
 export interface HostListClient {
   /** Waits until the list changes after `index`, at most `wait` ms; index 0 answers at once. */
   watch: (index: number, wait: Ms, signal?: AbortSignal) => ResultAsync<HostList, KvFailure>
 }
 
 /**
- * Opens a client of the host list.
+ * Creates a client of the host list.
  *
  * @param url - base URL of the list
  */
 export function createHostListClient (url: string): HostListClient {
   const pool = new Pool(url, { connections: 2, headersTimeout: 0, bodyTimeout: 0 })
   const load = async (index: number, wait: Ms, signal?: AbortSignal): Promise<HostList> => {
-    const timed = AbortSignal.timeout(wait + callTimeout)
+    const timeoutSignal = AbortSignal.timeout(wait + callTimeout)
     const res = await pool.request({
       method: 'GET',
       path: `/v1/health/service/${hostServiceName}?index=${index}&wait=${wait}ms`,
-      signal: signal === undefined ? timed : AbortSignal.any([timed, signal])
+      signal: signal === undefined ? timeoutSignal : AbortSignal.any([timeoutSignal, signal])
     })
     if (res.statusCode !== 200) throw new Error(`The host list answered ${res.statusCode}.`)
     const wires = await res.body.json() as WireHost[]
--- a/packages/entry/src/lib/serve-callers.ts
+++ b/packages/entry/src/lib/serve-callers.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' HTTP interface.
+ * The HTTP interface for callers.
  */
 import { type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -12,12 +12,12 @@
 import { type Call, readBody, readCompletion, readPlainCall } from './call-reader.js'
 import type { Entry } from './entry.js'
 
-interface Raw { Bindings: HttpBindings }
+interface AppEnv { Bindings: HttpBindings }
 
-/** A listening interface. */
+/** The listening HTTP server for callers. */
 export interface CallerServer {
   readonly port: number
-  /** Ends idle connections and takes no new ones. */
+  /** Closes idle connections and accepts no new ones. */
   readonly close: () => Promise<void>
 }
 
@@ -27,21 +27,21 @@
 
 type ReadCall = (body: Buffer, config: Config) => Result<Call, Failure>
 
-function noConfig (): Failure {
+function noConfigFailure (): Failure {
   return failure('not-run', 'no-upstream', 'No configuration is known yet. Send the request again later.', 1_000)
 }
 
-async function handle (entry: Entry, c: Context<Raw>, read: ReadCall): Promise<Response> {
+async function handle (entry: Entry, c: Context<AppEnv>, read: ReadCall): Promise<Response> {
   const req = c.env.incoming as IncomingMessage
   const res = c.env.outgoing as ServerResponse
   const body = await readBody(req, entry.options.maxBodyBytes)
   const { config } = entry.config
   if (body.isErr()) {
-    // The rest of an oversized body is not read; the connection can't be used again.
+    // The rest of an oversized body is not read, so the connection can't be reused.
     res.setHeader('connection', 'close')
     entry.refuse(res, body.error)
   } else if (config === undefined) {
-    entry.refuse(res, noConfig())
+    entry.refuse(res, noConfigFailure())
   } else {
     read(body.value, config).match(call => entry.run(call, res), cause => entry.refuse(res, cause))
   }
@@ -54,7 +54,7 @@
   return { object: 'list', data }
 }
 
-/** Splits `/services/<name>/<path>` into name and path with query. */
+/** Splits `/services/<name>/<path>` into the name and the path with its query. */
 function splitServicePath (url: string): { readonly name: string, readonly path: string } {
   const rest = url.slice(servicesPrefix.length)
   const end = rest.search(/[/?]/)
@@ -63,8 +63,8 @@
   return { name: rest.slice(0, end), path: path.startsWith('/') ? path : `/${path}` }
 }
 
-function createApp (entry: Entry): Hono<Raw> {
-  const app = new Hono<Raw>()
+function createApp (entry: Entry): Hono<AppEnv> {
+  const app = new Hono<AppEnv>()
   for (const path of ['/v1/completions', '/v1/chat/completions']) {
     app.post(path, c => handle(entry, c, (body, config) => readCompletion(c.env.incoming as IncomingMessage, path, body, config)))
   }
@@ -84,11 +84,11 @@
 }
 
 /**
- * Serves callers.
+ * Starts the HTTP server for callers.
  *
- * @param entry - runs the calls
+ * @param entry - entry that runs the calls
  * @param host - address to listen on
- * @param port - 0 lets the kernel choose
+ * @param port - port to listen on; 0 lets the kernel choose one
  */
 export async function serveCallers (entry: Entry, host: string, port: number): Promise<CallerServer> {
   const server = createAdaptorServer({
