--- a/packages/direct/src/test/places.steps.ts
+++ b/packages/direct/src/test/batch-slots.steps.ts
@@ -1,25 +1,25 @@
 /**
- * Checks who knows of free places, and what callers get by it.
+ * Checks how free batch slots are counted and shared, and how soon streams begin as a result.
  */
 import assert from 'node:assert/strict'
 import { Then } from '@cucumber/cucumber'
 import { BatchSlots } from '@hazelford/decisions'
 import fc from 'fast-check'
 import { type LoadDigest, maxDigestsPerMessage, pickDigests, readDigests, toDigestRow } from '../lib/load-digest.js'
-import { playPlaces } from './support/places-play.js'
+import { simulateBatchSlots } from './support/batch-slot-simulation.js'
 
 const propertySeed = 20261203
 const seeds = [1, 2, 3]
-const drafts = { entries: 68, engines: 84, places: 12, rate: 330, stay: 2_000, length: 12_000, target: 800 }
+const drafts = { entries: 68, engines: 84, places: 12, rate: 330, serviceTime: 2_000, length: 12_000, target: 800 }
 
-Then('with places given out by holders {int} in {int} streams begin in time, and {int} at most wait beside free places', (least: number, of: number, most: number) => {
-  const results = seeds.map(seed => playPlaces({ ...drafts, seed, guessing: false }))
+Then('with batch slots granted by holders {int} in {int} streams begin in time, and {int} at most wait while batch slots are free', (least: number, of: number, most: number) => {
+  const results = seeds.map(seed => simulateBatchSlots({ ...drafts, seed, knowsOwnOnly: false }))
   const mean = (read: (result: typeof results[number]) => number): number => results.reduce((sum, result) => sum + read(result), 0) / results.length
   assert.ok(mean(({ inTime }) => inTime) >= least / of, `in time ${mean(({ inTime }) => inTime)}`)
-  assert.ok(mean(({ waitingBesideFree }) => waitingBesideFree) <= most, `beside free places ${mean(({ waitingBesideFree }) => waitingBesideFree)}`)
+  assert.ok(mean(({ avoidableWaits }) => avoidableWaits) <= most, `avoidable waits ${mean(({ avoidableWaits }) => avoidableWaits)}`)
 })
 
-Then('a holder counts what it let in and what entries say has ended, whatever the order', () => {
+Then('a holder counts the requests that it admitted less those that entries report as ended, in any sequence', () => {
   const change = fc.record({ entry: fc.constantFrom('a', 'b', 'c'), begins: fc.boolean() })
   fc.assert(fc.property(fc.array(change, { maxLength: 60 }), changes => {
     const places = new BatchSlots(12)
@@ -36,29 +36,29 @@
   }), { seed: propertySeed })
 })
 
-Then('a lost entry\'s requests count no more after {int} s', (seconds: number) => {
+Then('the requests of a lost entry no longer count after {int} s', (seconds: number) => {
   const places = new BatchSlots(12)
   places.note('lost', 7, 0)
   assert.equal(places.running(seconds * 1_000 - 1), 7)
   assert.equal(places.running(seconds * 1_000), 0)
 })
 
-Then('what is no word on a load is left out', () => {
+Then('whatever is not a load digest is ignored', () => {
   const good: LoadDigest = { upstream: 'i-1', running: 3, promptBacklog: 0, age: 10 }
   assert.deepEqual(readDigests([toDigestRow(good), null, 7, {}, [], ['i-1'], ['i-1', 3, 0, -1], ['i-1', 'x', 0, 10], [7, 3, 0, 10], ['i-1', 3, null, 10]]), [good])
   fc.assert(fc.property(fc.jsonValue(), value => { assert.ok(Array.isArray(readDigests(value))) }), { seed: propertySeed })
 })
 
-Then('every engine that an entry knows of is told of in turn, its own ones always', () => {
+Then('every engine that an entry knows of is reported in turn, and those that it holds always', () => {
   const digest = (n: number): LoadDigest => ({ upstream: `i-${n}`, running: n, promptBacklog: 0, age: 5 })
   const others = Array.from({ length: 84 }, (_, n) => digest(n))
   const own = [digest(100)]
-  const told = new Set<string>()
+  const reported = new Set<string>()
   for (let n = 0; n < 84; n++) {
     const picked = pickDigests(own, others, () => n / 84)
     assert.equal(picked[0]!.upstream, 'i-100')
     assert.ok(picked.length <= maxDigestsPerMessage)
-    for (const { upstream } of picked) told.add(upstream)
+    for (const { upstream } of picked) reported.add(upstream)
   }
-  assert.equal(told.size, 85)
+  assert.equal(reported.size, 85)
 })
--- a/packages/direct/src/test/peers.steps.ts
+++ b/packages/direct/src/test/peers.steps.ts
@@ -17,13 +17,13 @@
 import { SlowLink } from './support/slow-link.js'
 
 const loopback = '127.0.0.1'
-/** How long those that follow wait for changes. */
+/** How long a following entry waits for changes. */
 const feedWaitMs = 400
 const bitsPerByte = 8
 
-interface PeersWorld { clock: FakeClock, tables: readonly PeerTable[], peerServer?: Server, slowLink?: SlowLink, peerClient?: PeerClient, answers: readonly FeedAnswer[], config: string, body: unknown, told: boolean, called: boolean }
+interface PeersWorld { clock: FakeClock, tables: readonly PeerTable[], peerServer?: Server, slowLink?: SlowLink, peerClient?: PeerClient, answers: readonly FeedAnswer[], config: string, body: unknown, isAccepted: boolean, isCalled: boolean }
 
-/** A configuration of a size and a variety that operators' have. */
+/** A configuration as large and as varied as those of operators. */
 function largeConfig (routes: number): string {
   return JSON.stringify({
     version: 3,
@@ -43,7 +43,7 @@
   this.peerServer?.close()
 })
 
-When('{int} entries ask one for changes, over its link of {int} Mbit\\/s, and a configuration of {int} routes is among them', async function (this: PeersWorld, entries: number, megabits: number, routes: number) {
+When('{int} entries ask one entry for changes, over its link of {int} Mbit\\/s, and a configuration of {int} routes is among them', async function (this: PeersWorld, entries: number, megabits: number, routes: number) {
   this.config = largeConfig(routes)
   const event = { kind: 'put', item: { key: 'config', value: this.config, revision: 2 } } as const
   const port = await serve(this, { changes: async () => ({ kind: 'changes', events: [event], revision: 2, age: 0, viewAge: 0 }) })
@@ -54,7 +54,7 @@
   this.answers = await Promise.all(Array.from({ length: entries }, () => this.peerClient!.changes(peer, 1, feedWaitMs)))
 })
 
-Then('each has it', function (this: PeersWorld) {
+Then('each receives the configuration', function (this: PeersWorld) {
   for (const answer of this.answers) {
     assert.ok(answer.kind === 'changes')
     const [event] = answer.events
@@ -70,23 +70,23 @@
   this.body = await res.json()
 })
 
-Then('it can read the answer', function (this: PeersWorld) { assert.deepEqual(this.body, { config: this.config }) })
+Then('it receives the answer uncompressed', function (this: PeersWorld) { assert.deepEqual(this.body, { config: this.config }) })
 
-When('an entry that knows none of the paths is told what an upstream says', async function (this: PeersWorld) {
+When('a notice of an upstream is sent to an entry that knows none of the paths', async function (this: PeersWorld) {
   this.peerServer = createServer((_, res) => res.writeHead(404).end())
   await new Promise<void>(resolve => this.peerServer!.listen(0, loopback, resolve))
   this.peerClient = new PeerClient()
   const { port } = this.peerServer.address() as AddressInfo
-  this.told = await this.peerClient.sendNotices({ node: 'older', host: loopback, port }, { notices: [] }).then(() => true, () => false)
+  this.isAccepted = await this.peerClient.sendNotices({ node: 'older', host: loopback, port }, { notices: [] }).then(() => true, () => false)
 })
 
-Then('it is not told', function (this: PeersWorld) { assert.equal(this.told, false) })
+Then('the notice counts as not delivered', function (this: PeersWorld) { assert.equal(this.isAccepted, false) })
 
-When('an entry that has ended asks another one for its state', async function (this: PeersWorld) {
-  this.called = false
+When('an entry that has stopped requests another entry\'s state', async function (this: PeersWorld) {
+  this.isCalled = false
   const port = await serve(this, {
     state: () => {
-      this.called = true
+      this.isCalled = true
       return undefined
     }
   })
@@ -95,32 +95,32 @@
   await assert.rejects(this.peerClient.state({ host: loopback, port }))
 })
 
-Then('the other one gets no call', function (this: PeersWorld) { assert.equal(this.called, false) })
+Then('the other entry gets no call', function (this: PeersWorld) { assert.equal(this.isCalled, false) })
 
-function listed (n: number): StoreItem {
+function registrationOf (n: number): StoreItem {
   const node = `entry-${n}`
   return { key: entryKey(node), value: JSON.stringify({ node, host: loopback, port: n + 1 }), revision: n + 1 }
 }
 
-When('{int} entries that know each other hear of themselves alone for {int} ms', function (this: PeersWorld, entries: number, ms: number) {
+When('{int} entries that know each other are listed each by itself for {int} ms', function (this: PeersWorld, entries: number, ms: number) {
   this.clock = new FakeClock()
   this.tables = Array.from({ length: entries }, () => new PeerTable(this.clock, () => {}))
-  const all = Array.from({ length: entries }, (_, n) => listed(n))
+  const all = Array.from({ length: entries }, (_, n) => registrationOf(n))
   for (const table of this.tables) table.reset(all)
   this.clock.advance(1_000)
-  this.tables.forEach((table, n) => table.reset([listed(n)]))
+  this.tables.forEach((table, n) => table.reset([registrationOf(n)]))
   this.clock.advance(ms)
 })
 
-Then('their repeats keep within a slack of {int} in every {int} s', function (this: PeersWorld, slack: number, seconds: number) {
-  let repeats = 0
+Then('their retries keep within a slack of {int} in every {int} s', function (this: PeersWorld, slack: number, seconds: number) {
+  let retries = 0
   for (const { entryCount } of this.tables) {
     const budget = new SharedRetryBudget({ ratio: 0, slack, window: seconds * 1_000 })
-    while (budget.takeRepeat(this.clock.now(), entryCount)) repeats++
+    while (budget.takeRepeat(this.clock.now(), entryCount)) retries++
   }
-  assert.ok(repeats > 0 && repeats <= slack, `${repeats} repeats`)
+  assert.ok(retries > 0 && retries <= slack, `${retries} retries`)
 })
 
-Then('each counts itself alone', function (this: PeersWorld) {
+Then('each counts one entry', function (this: PeersWorld) {
   assert.deepEqual(this.tables.map(({ entryCount }) => entryCount), this.tables.map(() => 1))
 })
--- a/packages/direct/src/test/support/slow-link.ts
+++ b/packages/direct/src/test/support/slow-link.ts
@@ -1,5 +1,5 @@
 /**
- * A loopback link with a bounded rate.
+ * A loopback link with a bandwidth limit.
  */
 import { type AddressInfo, connect, createServer, type Server, type Socket } from 'node:net'
 import { setTimeout as pause } from 'node:timers/promises'
@@ -7,9 +7,9 @@
 const loopback = '127.0.0.1'
 const sliceBytes = 4_096
 
-/** Carries connections to a port; all together share the rate of what comes back. */
+/** Forwards connections to a port; the responses of all connections share one bandwidth limit. */
 export class SlowLink {
-  private _free = performance.now()
+  private _freeAt = performance.now()
   private readonly _server: Server = createServer(caller => this._accept(caller))
 
   constructor (private readonly _target: number, private readonly _bytesPerSecond: number) {}
@@ -23,20 +23,20 @@
   private _accept (caller: Socket): void {
     const server = connect(this._target, loopback)
     caller.pipe(server)
-    this._carry(server, caller).catch(() => caller.destroy())
+    this._forward(server, caller).catch(() => caller.destroy())
     for (const socket of [caller, server]) {
       socket.on('error', () => {})
       socket.on('close', () => [caller, server].forEach(each => each.destroy()))
     }
   }
 
-  private async _carry (from: Socket, to: Socket): Promise<void> {
+  private async _forward (from: Socket, to: Socket): Promise<void> {
     for await (const chunk of from) {
       const bytes = chunk as Buffer
       for (let at = 0; at < bytes.length; at += sliceBytes) {
         const slice = bytes.subarray(at, at + sliceBytes)
-        this._free = Math.max(this._free, performance.now()) + slice.length / this._bytesPerSecond * 1_000
-        await pause(this._free - performance.now())
+        this._freeAt = Math.max(this._freeAt, performance.now()) + slice.length / this._bytesPerSecond * 1_000
+        await pause(this._freeAt - performance.now())
         to.write(slice)
       }
     }
--- a/packages/direct/src/test/usage.steps.ts
+++ b/packages/direct/src/test/usage.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Checks that limits hold over all entries, and that what they allow can be used.
+ * Checks that limits hold across all entries, and that what they allow can be used.
  */
 import assert from 'node:assert/strict'
 import { Then, When } from '@cucumber/cucumber'
@@ -13,43 +13,43 @@
 import { UsageCoordinator, type UsageCoordinatorOptions } from '../lib/usage-coordinator.js'
 import type { Admission } from '../lib/credit-queue.js'
 import { readUsageGrants, readUsageMessage } from '../lib/usage-messages.js'
-import { playUsage, type UsageDemand, type UsageFault, type UsageLoad } from './support/usage-play.js'
+import { simulateUsage, type UsageDemand, type UsageFault, type UsageWorkload } from './support/usage-simulation.js'
 
 const propertySeed = 20261203
 const entries = 22
 const length = 14_000
-/** A large organisation and a small one, as 16 organisations of 240 requests a second have them. */
+/** A large and a small organisation, in the proportions of 16 organisations with 240 requests a second in all. */
 const large: UsageDemand = { organisation: 'large', limit: 146_000, asked: 81_000, entries: 14, cost: 1_100 }
 const small: UsageDemand = { organisation: 'small', limit: 9_000, asked: 5_000, entries: 4, cost: 900 }
 
-/** One whose callers come to all entries in turn. */
+/** An organisation whose callers are connected to all entries. */
 const scattered: UsageDemand = { organisation: 'scattered', limit: 9_400, asked: 5_200, entries: 22, cost: 1_500 }
 
-function load (over: Partial<UsageLoad>): UsageLoad { return { way: 'keeper', entries, demands: [large, small, scattered], faults: [], length, seed: 1, ...over } }
+function workload (over: Partial<UsageWorkload>): UsageWorkload { return { allocation: 'allocator', entries, demands: [large, small, scattered], faults: [], length, seed: 1, ...over } }
 
-Then('with a keeper at most {int} in {int} units are refused below the limit, with equal parts over {int}', async (most: number, of: number, equal: number) => {
+Then('with an allocator at most {int} in {int} units are refused within the limit, with equal parts over {int}', async (most: number, of: number, equal: number) => {
   for (const seed of [1, 2, 3]) {
-    const lent = await playUsage(load({ seed }))
-    const parts = await playUsage(load({ seed, way: 'equal-parts' }))
-    console.log(`usage within the limit, seed ${seed}: keeper ${JSON.stringify(lent)}, equal parts ${JSON.stringify(parts)}`)
-    assert.ok(lent.refusedBelow <= most / of, `keeper ${lent.refusedBelow}`)
-    assert.ok(parts.refusedBelow > equal / of, `equal parts ${parts.refusedBelow}`)
+    const allocated = await simulateUsage(workload({ seed }))
+    const parts = await simulateUsage(workload({ seed, allocation: 'equal-parts' }))
+    console.log(`usage within the limit, seed ${seed}: allocator ${JSON.stringify(allocated)}, equal parts ${JSON.stringify(parts)}`)
+    assert.ok(allocated.refusedWithinLimit <= most / of, `allocator ${allocated.refusedWithinLimit}`)
+    assert.ok(parts.refusedWithinLimit > equal / of, `equal parts ${parts.refusedWithinLimit}`)
   }
 })
 
-Then('in no window more is used than its limit allows, and over {int} in {int} units of what it allows are', async (least: number, of: number) => {
+Then('use exceeds the limit in no window, and over {int} in {int} units of what it allows are used', async (least: number, of: number) => {
   for (const demand of [{ ...large, asked: 600_000 }, { ...small, asked: 40_000 }]) {
-    const result = await playUsage(load({ demands: [demand] }))
+    const result = await simulateUsage(workload({ demands: [demand] }))
     console.log(`usage beyond the limit, ${demand.organisation}: ${JSON.stringify(result)}`)
     assert.ok(result.worstWindow <= 1, `worst window ${result.worstWindow}`)
     assert.ok(result.used > least / of, `used ${result.used}`)
   }
 })
 
-Then('at least {int} in {int} units are let in, and in no window more is used than its limit allows', async (least: number, of: number) => {
-  const result = await playUsage(load({ demands: [{ ...large, asked: 1.1 * large.limit }], length: 24_000 }))
+Then('at least {int} in {int} units are admitted, and use exceeds the limit in no window', async (least: number, of: number) => {
+  const result = await simulateUsage(workload({ demands: [{ ...large, asked: 1.1 * large.limit }], length: 24_000 }))
   console.log(`usage a tenth beyond the rate: ${JSON.stringify(result)}`)
-  assert.ok(result.letIn >= least / of, `let in ${result.letIn}`)
+  assert.ok(result.admitted >= least / of, `admitted ${result.admitted}`)
   assert.ok(result.worstWindow <= 1, `worst window ${result.worstWindow}`)
 })
 
@@ -59,86 +59,86 @@
   fc.record({ kind: fc.constant('restart' as const), entry: fc.integer({ min: 0, max: 5 }), at: fc.integer({ min: 0, max: 10_000 }) })
 )
 
-Then('in no window more is used than its limit allows, whatever is cut off or starts again', async () => {
+Then('use exceeds the limit in no window, whichever entries are cut off or restart', async () => {
   const demands = [{ ...large, asked: 500_000, entries: 6 }]
   await fc.assert(fc.asyncProperty(fc.array(fault, { minLength: 1, maxLength: 8 }), async faults => {
-    const result = await playUsage(load({ entries: 6, demands, faults, length: 10_000 }))
+    const result = await simulateUsage(workload({ entries: 6, demands, faults, length: 10_000 }))
     assert.ok(result.worstWindow <= 1, `worst window ${result.worstWindow}`)
   }), { seed: propertySeed, numRuns: 60, endOnFailure: true })
 })
 
-Then('at an entry that is cut off from {int} others, no request waits for longer than {int} ms, and in no window more is used than its limit allows', async (others: number, most: Ms) => {
+Then('at an entry that is cut off from {int} other entries, no request waits for longer than {int} ms, and use exceeds the limit in no window', async (others: number, most: Ms) => {
   const demands = [{ ...large, asked: 400_000, entries: 8 }]
   const faults: UsageFault[] = [{ kind: 'cut', entry: 0, at: 2_000, until: 9_500 }]
-  const { longestWait, worstWindow } = await playUsage(load({ entries: others + 1, demands, faults, length: 10_000 }))
+  const { longestWait, worstWindow } = await simulateUsage(workload({ entries: others + 1, demands, faults, length: 10_000 }))
   assert.ok(longestWait <= most, `waited ${longestWait} ms`)
   assert.ok(worstWindow <= 1, `worst window ${worstWindow}`)
 })
 
-Then('at least {int} in {int} units are let in that it asks for, if they are less than its part', async (least: number, of: number) => {
+Then('at least {int} in {int} units of its requests are admitted, if they are less than its equal part', async (least: number, of: number) => {
   const demands = [{ ...large, asked: 2_000, cost: 100, entries: 1 }]
-  const { letIn } = await playUsage(load({ entries: 40, demands, faults: [{ kind: 'cut', entry: 0, at: 1_000, until: 11_000 }], length: 10_000 }))
-  assert.ok(letIn >= least / of, `let in ${letIn}`)
+  const { admitted } = await simulateUsage(workload({ entries: 40, demands, faults: [{ kind: 'cut', entry: 0, at: 1_000, until: 11_000 }], length: 10_000 }))
+  assert.ok(admitted >= least / of, `admitted ${admitted}`)
 })
 
-/** What is judged of an upstream's limit: half as much again, and five requests. */
+/** Bounds that the use of an upstream's limit is judged by: half as much again as the limit, and five requests. */
 const judgedLimit: UsageBounds = { window: 4_000, overage: 0.5, slack: 5 }
 
-function limited (limit: number, among: number): UsageLoad {
+function limited (limit: number, among: number): UsageWorkload {
   const demand: UsageDemand = { organisation: 'upstream', limit, asked: 60, entries: among, cost: 1, burst: 0 }
-  return load({ entries: among, demands: [demand], bounds: limitBounds, judged: judgedLimit, isPatient: false, length: 10_000 })
+  return workload({ entries: among, demands: [demand], bounds: limitBounds, judgedBounds: judgedLimit, waitsForCredit: false, length: 10_000 })
 }
 
-Then('of {int} entries\' requests an upstream gets at most what 4 s allow, and over {int} in {int} of its limit, whatever it names', async (among: number, least: number, of: number) => {
+Then('an upstream gets at most what 4 s allow from {int} entries, and over {int} in {int} of its limit, whatever limit it names', async (among: number, least: number, of: number) => {
   for (const limit of [1, 1.4, 8, 30]) {
-    const result = await playUsage(limited(limit, among))
+    const result = await simulateUsage(limited(limit, among))
     assert.ok(result.worstWindow <= 1, `limit ${limit}: worst window ${result.worstWindow}`)
     assert.ok(result.used > least / of, `limit ${limit}: used ${result.used}`)
   }
 })
 
-Then('of {int} entries\' requests it gets at most what 4 s allow, whatever is cut off or starts again', async (among: number) => {
+Then('it gets at most what 4 s allow from {int} entries, whichever of them are cut off or restart', async (among: number) => {
   await fc.assert(fc.asyncProperty(fc.array(fault, { minLength: 1, maxLength: 8 }), fc.constantFrom(0.5, 1.4, 9), async (faults, limit) => {
-    const result = await playUsage({ ...limited(limit, among), faults })
+    const result = await simulateUsage({ ...limited(limit, among), faults })
     assert.ok(result.worstWindow <= 1, `limit ${limit}: worst window ${result.worstWindow}`)
   }), { seed: propertySeed, numRuns: 30, endOnFailure: true })
 })
 
-Then('whoever is refused for the limit of an upstream or an organisation is told to come back after {int} ms or later', async (least: number) => {
-  for (const played of [limited(1.4, 5), limited(8, 30), load({ demands: [{ ...large, asked: 600_000 }] })]) {
-    const { soonestReturn } = await playUsage(played)
-    assert.ok(soonestReturn >= least, `told ${soonestReturn} ms`)
+Then('a caller refused for the limit of an upstream or an organisation gets a retry-after of {int} ms or more', async (least: number) => {
+  for (const simulated of [limited(1.4, 5), limited(8, 30), workload({ demands: [{ ...large, asked: 600_000 }] })]) {
+    const { shortestRetryAfter } = await simulateUsage(simulated)
+    assert.ok(shortestRetryAfter >= least, `retry-after ${shortestRetryAfter} ms`)
   }
 })
 
 async function assertWithinLimits (faults: readonly UsageFault[]): Promise<void> {
-  const loads = [limited(1.4, 5), limited(8, 30), load({ demands: [{ ...large, asked: 600_000 }] })]
-  const worst = await Promise.all(loads.map(async each => (await playUsage({ ...each, faults })).worstWindow))
+  const workloads = [limited(1.4, 5), limited(8, 30), workload({ demands: [{ ...large, asked: 600_000 }] })]
+  const worst = await Promise.all(workloads.map(async each => (await simulateUsage({ ...each, faults })).worstWindow))
   assert.ok(Math.max(...worst) <= 1, `worst windows ${worst.join()}`)
 }
 
 function lapse (lasts: number): UsageFault { return { kind: 'lapse', at: 3_000, until: 3_000 + lasts } }
 
-Then('in no window more is used than the limits of an upstream and an organisation allow, while lists hold one entry each for {int} ms', (lasts: number) => assertWithinLimits([lapse(lasts)]))
+Then('use exceeds the limits of an upstream and an organisation in no window, while each entry lists only itself for {int} ms', (lasts: number) => assertWithinLimits([lapse(lasts)]))
 
-Then('in no window more is used than the limits of an upstream and an organisation allow, while entries start in {int} ms in which lists hold one entry each', (lasts: number) => {
+Then('use exceeds the limits of an upstream and an organisation in no window, while entries start in {int} ms in which each entry lists only itself', (lasts: number) => {
   const starts = [0, 1, 2, 3].map((entry): UsageFault => ({ kind: 'restart', entry, at: 3_500 + entry * 200 }))
   return assertWithinLimits([lapse(lasts), ...starts])
 })
 
-interface NewcomerWorld { desk: UsageCoordinator, messages: number }
+interface NewcomerWorld { coordinator: UsageCoordinator, messages: number }
 
 const newcomer: Organisation = { name: 'newcomer', keys: [], limit: { unit: 'requests', rate: 50, burst: 50, plainTokens: 0 } }
 
-/** Entries in the order in which they should count. */
+/** Entries by rank as allocator, first choice first. */
 function rankedEntries (count: number): readonly PeerAddress[] {
   const names = Array.from({ length: count }, (_, n) => `entry-${n}`)
   return rendezvousOrder('usage/0', names).map((node, n) => ({ node, host: '127.0.0.1', port: n + 1 }))
 }
 
-/** One entry's desk among others that all answer pings. */
-function deskAmong (entries: readonly PeerAddress[], node: string, clock: Clock, organisations: readonly Organisation[], report: UsageCoordinatorOptions['report']): UsageCoordinator {
-  const desk = new UsageCoordinator({
+/** The coordinator of one entry among others that all answer pings. */
+function coordinatorAmong (entries: readonly PeerAddress[], node: string, clock: Clock, organisations: readonly Organisation[], report: UsageCoordinatorOptions['report']): UsageCoordinator {
+  const coordinator = new UsageCoordinator({
     node,
     clock,
     log: silentLog,
@@ -152,41 +152,41 @@
     report,
     ping: async () => {}
   })
-  desk.limitsChanged()
-  return desk
+  coordinator.limitsChanged()
+  return coordinator
 }
 
-When('an organisation is known to an entry, and not yet to the one that counts', function (this: NewcomerWorld) {
+When('an organisation is known to an entry, and not yet to its allocator', function (this: NewcomerWorld) {
   const entries = rankedEntries(2)
   const [first, second] = entries
   const clock = new FakeClock()
   this.messages = 0
-  const unasked = async (): Promise<never> => { throw new Error('The first counts by itself.') }
-  const keeper = deskAmong(entries, first!.node, clock, [], unasked)
-  this.desk = deskAmong(entries, second!.node, clock, [newcomer], async (_, msg) => {
+  const unexpectedReport = async (): Promise<never> => { throw new Error('the allocator must not report to another entry') }
+  const allocator = coordinatorAmong(entries, first!.node, clock, [], unexpectedReport)
+  this.coordinator = coordinatorAmong(entries, second!.node, clock, [newcomer], async (_, msg) => {
     this.messages++
-    return keeper.report(msg)
+    return allocator.report(msg)
   })
 })
 
-Then('its first {int} requests are let in, with {int} messages at most', async function (this: NewcomerWorld, requests: number, messages: number) {
-  const admissions: readonly Admission[] = await Promise.all(Array.from({ length: requests }, () => this.desk.admit(newcomer.name, usageOf(newcomer.limit!, undefined))))
+Then('its first {int} requests are admitted, with {int} messages at most', async function (this: NewcomerWorld, requests: number, messages: number) {
+  const admissions: readonly Admission[] = await Promise.all(Array.from({ length: requests }, () => this.coordinator.admit(newcomer.name, usageOf(newcomer.limit!, undefined))))
   assert.deepEqual(admissions.filter(({ kind }) => kind !== 'admitted'), [])
   assert.ok(this.messages <= messages, `${this.messages} messages`)
 })
 
-interface UncountedWorld { asked: Map<string, number>, askedLater: number }
+interface NoAllocatorWorld { asked: Map<string, number>, reportsAfterStop: number }
 
 const refusedAfterMs = 150
 
-When('none of {int} entries that should count takes reports, though all answer, and the entry ends after {int} ms', async function (this: UncountedWorld, others: number, endsAfter: number) {
+When('none of {int} possible allocators accepts reports, though all answer, and the entry stops after {int} ms', async function (this: NoAllocatorWorld, others: number, stopsAfter: number) {
   const peers = rankedEntries(others + 1)
   const clock = new FakeClock()
   const asked = new Map<string, number>()
-  const desk = deskAmong(peers, peers.at(-1)!.node, clock, [newcomer], async ({ node }) => {
+  const coordinator = coordinatorAmong(peers, peers.at(-1)!.node, clock, [newcomer], async ({ node }) => {
     asked.set(node, (asked.get(node) ?? 0) + 1)
     await sleep(clock, refusedAfterMs)
-    throw new Error('The keeper answered 404.')
+    throw new Error('the allocator answered 404')
   })
   const pass = async (ms: number): Promise<void> => {
     for (let passed = 0; passed < ms; passed++) {
@@ -194,21 +194,21 @@
       await new Promise(resolve => setImmediate(resolve))
     }
   }
-  await pass(endsAfter)
-  desk.stop()
+  await pass(stopsAfter)
+  coordinator.stop()
   this.asked = new Map(asked)
   await pass(refusedAfterMs)
   const before = [...asked.values()].reduce((sum, times) => sum + times, 0)
-  await pass(endsAfter)
-  this.askedLater = [...asked.values()].reduce((sum, times) => sum + times, 0) - before
+  await pass(stopsAfter)
+  this.reportsAfterStop = [...asked.values()].reduce((sum, times) => sum + times, 0) - before
 })
 
-Then('each was asked {int} times at most, and none from then on', function (this: UncountedWorld, most: number) {
+Then('each got {int} reports at most, and none from then on', function (this: NoAllocatorWorld, most: number) {
   assert.ok(Math.max(...this.asked.values()) <= most, [...this.asked].join(' '))
-  assert.equal(this.askedLater, 0)
+  assert.equal(this.reportsAfterStop, 0)
 })
 
-Then('whatever a peer reports or lends is amounts that can be counted, or nothing', () => {
+Then('whatever a peer reports or grants is read as finite, non-negative amounts, or ignored', () => {
   const anything = fc.oneof(fc.jsonValue(), fc.record({ shard: fc.jsonValue(), entry: fc.jsonValue(), covers: fc.jsonValue(), rows: fc.array(fc.record({ account: fc.string(), holding: fc.jsonValue(), first: fc.integer(), waiting: fc.integer(), ahead: fc.jsonValue(), returned: fc.integer() })) }))
   fc.assert(fc.property(anything, value => {
     for (const { holding, first, waiting, ahead, returned } of readUsageMessage(value)?.rows ?? []) assert.ok([holding, first, waiting, ahead, returned].every(amount => Number.isFinite(amount) && amount >= 0))
