--- a/packages/bench/src/lib/soak-faults.ts
+++ b/packages/bench/src/lib/soak-faults.ts
@@ -104,7 +104,7 @@
   {
     name: 'kv stale reads',
     begin: async fleet => {
-      fleet.kv.keepCopy()
+      fleet.kv.takeSnapshot()
       return setFor(fleet.kv.faults, 'staleReads', true)
     }
   },
--- a/packages/bench/src/test/config-in-force.steps.ts
+++ b/packages/bench/src/test/config-in-force.steps.ts
@@ -19,14 +19,14 @@
   return [...world.system.entries.map(({ entry }) => entry.config), ...[...world.system.sidecars.values()].map(sidecar => sidecar.config)]
 }
 
-Given('an old copy of the key-value service is kept', function (this: SystemWorld) { this.system.kv.keepCopy() })
+Given('an old copy of the key-value service is kept', function (this: SystemWorld) { this.system.kv.takeSnapshot() })
 
 When('the key-value service swallows the next watches of all entries', async function (this: SystemWorld) {
   const { kv } = this.system
   kv.faults.blackHole = true
   // Any change ends the watches that wait; those that follow are swallowed.
-  kv.keepCopy()
-  kv.restoreCopy()
+  kv.takeSnapshot()
+  kv.restoreSnapshot()
   await new Promise(resolve => setTimeout(resolve, observeMs))
   kv.faults.blackHole = false
 })
@@ -49,7 +49,7 @@
 })
 
 When('the key-value service is restored from the old copy', function (this: SystemWorld) {
-  this.system.kv.restoreCopy()
+  this.system.kv.restoreSnapshot()
 })
 
 Then('the store has the newest revision again', async function (this: SystemWorld) {
--- a/packages/bench/src/test/ending-requests.steps.ts
+++ b/packages/bench/src/test/ending-requests.steps.ts
@@ -13,7 +13,7 @@
 
 When('a completion that ends each engine is asked for every {int} ms for {int} s, at the entries in turn', { timeout }, async function (this: SystemWorld, everyMs: number, seconds: number) {
   const { engines, entries } = this.system
-  for (const engine of engines) engine.endsUnder = endingPrompt
+  for (const engine of engines) engine.crashPrompt = endingPrompt
   const attempts: Array<Promise<unknown>> = []
   const end = performance.now() + seconds * 1_000
   for (let attempt = 0; performance.now() < end; attempt++) {
--- a/packages/stand-ins/src/lib/engine-batch.ts
+++ b/packages/stand-ins/src/lib/engine-batch.ts
@@ -1,5 +1,5 @@
 /**
- * Continuous batching: sequences join and leave between two decode steps.
+ * Continuous batching: sequences join and leave the batch between decode steps.
  */
 
 /** A sequence that the engine decodes. */
@@ -7,20 +7,21 @@
   readonly id: string
   readonly model: string
   readonly priority: number
-  readonly order: number
-  /** Whether a client still reads it; an abandoned stream is nobody's request. */
+  readonly sequenceNumber: number
+  /** Whether a client still reads it; an abandoned stream does not count as a request. */
   readonly isRead: () => boolean
   tokensLeft: number
-  /** Takes one token. */
+  /** Called with the index of each decoded token. */
   readonly emit: (index: number) => void
   readonly finish: () => void
   emitted: number
 }
 
-/** Cost of decoding. */
+/** Size of the batch and cost of decoding. */
 export interface BatchLimits {
+  /** Batch slots: sequences that the engine decodes at once. */
   readonly places: number
-  /** Ms of a step with one sequence. */
+  /** Duration in ms of a step with one sequence. */
   readonly stepMs: number
   /** Ms that each further sequence adds to a step. */
   readonly stepMsPerSequence: number
@@ -33,7 +34,7 @@
   private _timer: NodeJS.Timeout | undefined
   private _lastStep = 0
 
-  /** Sum over steps of the places filled, and the number of steps. */
+  /** Totals over all steps: filled batch slots, steps and tokens. */
   readonly fill = { placesFilled: 0, steps: 0, tokens: 0 }
 
   constructor (private readonly _limits: BatchLimits) {}
@@ -43,7 +44,7 @@
 
   add (sequence: Sequence): void {
     this._waiting.push(sequence)
-    this._waiting.sort((a, b) => a.priority - b.priority || a.order - b.order)
+    this._waiting.sort((a, b) => a.priority - b.priority || a.sequenceNumber - b.sequenceNumber)
     this._schedule()
   }
 
@@ -57,23 +58,23 @@
     this._waiting = []
   }
 
-  /** Requests that use a model and that somebody still reads. */
+  /** Ids of the running requests that use a model and that a client still reads. */
   users (model: string): readonly string[] {
     return this._running.filter(sequence => sequence.model === model && sequence.isRead()).map(sequence => sequence.id)
   }
 
   private _schedule (): void {
     if (this._timer !== undefined) return
-    this._admit()
+    this._fillSlots()
     if (this._running.length === 0) return
     const cost = this._limits.stepMs + this._limits.stepMsPerSequence * (this._running.length - 1)
-    // Timers fire late under load; the next step is set from when this one was due.
+    // Timers fire late under load, so the next step is scheduled from the time at which this one was due.
     const due = Math.max(performance.now(), this._lastStep + cost)
     const wait = this._lastStep === 0 ? cost : due - performance.now()
     this._timer = setTimeout(() => this._step(), wait)
   }
 
-  private _admit (): void {
+  private _fillSlots (): void {
     while (this._running.length < this._limits.places && this._waiting.length > 0) {
       this._running.push(this._waiting.shift()!)
     }
--- a/packages/stand-ins/src/lib/host-list-service.ts
+++ b/packages/stand-ins/src/lib/host-list-service.ts
@@ -2,9 +2,9 @@
  * Stand-in for the platform's list of hosts (Consul's health interface).
  */
 import { Hono } from 'hono'
-import { type Listening, type Raw, serve } from './serve.js'
+import { type ListeningStandIn, type RawBindings, serve } from './serve.js'
 
-/** A host as a test or a launcher enters it. */
+/** A host as a test or launcher registers it. */
 export interface ListedHost {
   readonly name: string
   readonly role: 'entry' | 'sidecar'
@@ -14,19 +14,19 @@
   readonly leaving?: boolean
 }
 
-/** The stand-in with its switches. */
-export interface HostListService extends Listening {
-  /** Enters a host or replaces its entry. */
+/** The stand-in and its fault switches. */
+export interface HostListService extends ListeningStandIn {
+  /** Registers a host or replaces its registration. */
   put: (host: ListedHost) => void
   remove: (name: string) => void
-  /** While set, changes are kept back and readers see the old list. */
+  /** While set, changes are withheld and readers see the old list. */
   lag: boolean
   /** While set, every call fails. */
   outage: boolean
 }
 
 /**
- * Starts the host list.
+ * Starts the host list service.
  */
 export async function startHostListService (): Promise<HostListService> {
   const hosts = new Map<string, ListedHost>()
@@ -38,12 +38,12 @@
     if (service.lag) return
     shown = [...hosts.values()]
     index++
-    const woken = waiters
+    const released = waiters
     waiters = []
-    for (const wake of woken) wake()
+    for (const wake of released) wake()
   }
 
-  const app = new Hono<Raw>()
+  const app = new Hono<RawBindings>()
   app.get('/v1/health/service/:name', async c => {
     if (service.outage) return c.text('outage', 500)
     const since = Number(c.req.query('index') ?? 0)
--- a/packages/stand-ins/src/lib/kv-service.ts
+++ b/packages/stand-ins/src/lib/kv-service.ts
@@ -3,21 +3,21 @@
  */
 import { RESPONSE_ALREADY_SENT } from '@hono/node-server/utils/response'
 import { type Context, Hono } from 'hono'
-import { type Listening, type Raw, serve } from './serve.js'
+import { type ListeningStandIn, type RawBindings, serve } from './serve.js'
 
-/** Faults of the key-value service; each may be changed at any moment. */
+/** Faults of the key-value service; each may be switched at any time. */
 export interface KvFaults {
-  /** Every call is cut without a reply and without effect. */
+  /** Every connection is cut without a reply, and the call has no effect. */
   outage: boolean
-  /** Every call is swallowed: no reply, no effect, no end. */
+  /** Every call hangs: it has no effect and gets no reply, and its connection stays open. */
   blackHole: boolean
   /** Added to every call, in ms. */
   delay: number
-  /** The next so many writes take effect but lose their reply. */
+  /** This many of the next writes take effect but lose their reply. */
   lostWriteReplies: number
   /** Share of writes that take effect but lose their reply. */
   lostWriteShare: number
-  /** Reads answer from the copy taken by {@link KvService.keepCopy}. */
+  /** Reads answer from the snapshot of {@link KvService.takeSnapshot}. */
   staleReads: boolean
 }
 
@@ -26,16 +26,16 @@
 
 interface Stored { readonly value: string, readonly modifyIndex: number }
 
-/** The stand-in with its switches. */
-export interface KvService extends Listening {
+/** The stand-in and its fault switches. */
+export interface KvService extends ListeningStandIn {
   readonly faults: KvFaults
   readonly calls: KvCalls
-  /** Value of a key, past all faults. */
+  /** Value of a key, read without any fault. */
   peek: (key: string) => string | undefined
-  /** Remembers the whole content, for stale reads and restores. */
-  keepCopy: () => void
-  /** Replaces the whole content by the remembered copy. */
-  restoreCopy: () => void
+  /** Copies the whole content, for stale reads and restores. */
+  takeSnapshot: () => void
+  /** Replaces the whole content by the snapshot. */
+  restoreSnapshot: () => void
 }
 
 const maxValueBytes = 1 << 20
@@ -52,30 +52,30 @@
 /**
  * Starts the key-value service.
  *
- * @param port - 0 lets the kernel choose
+ * @param port - 0 lets the kernel choose one
  */
 export async function startKvService (port = 0): Promise<KvService> {
   let data = new Map<string, Stored>()
-  let copy = new Map<string, Stored>()
+  let snapshot = new Map<string, Stored>()
   let index = 1
-  let copyIndex = 0
+  let snapshotIndex = 0
   let waiters: (() => void)[] = []
   const faults: KvFaults = { outage: false, blackHole: false, delay: 0, lostWriteReplies: 0, lostWriteShare: 0, staleReads: false }
   const calls: KvCalls = { reads: 0, writes: 0, watches: 0 }
 
-  function changed (): void {
+  function notifyWatches (): void {
     index++
-    const woken = waiters
+    const released = waiters
     waiters = []
-    for (const wake of woken) wake()
+    for (const wake of released) wake()
   }
 
-  function cut (c: Context<Raw>): Response {
+  function cut (c: Context<RawBindings>): Response {
     c.env.incoming.socket.destroy()
     return RESPONSE_ALREADY_SENT
   }
 
-  function replyLost (): boolean {
+  function losesReply (): boolean {
     if (faults.lostWriteReplies > 0) {
       faults.lostWriteReplies--
       return true
@@ -84,7 +84,7 @@
   }
 
   function select (key: string, recurse: boolean): [string, Stored][] {
-    const source = faults.staleReads ? copy : data
+    const source = faults.staleReads ? snapshot : data
     if (recurse) return [...source].filter(([name]) => name.startsWith(key))
     const one = source.get(key)
     return one === undefined ? [] : [[key, one]]
@@ -101,7 +101,7 @@
     }
   }
 
-  const app = new Hono<Raw>()
+  const app = new Hono<RawBindings>()
   app.use(async (c, next) => {
     if (faults.delay > 0) await pause(faults.delay)
     if (faults.outage) return cut(c)
@@ -116,7 +116,7 @@
       await untilChanged(since, parseWait(c.req.query('wait')))
       if (faults.outage) return cut(c)
     }
-    c.header('x-consul-index', String(faults.staleReads ? copyIndex : index))
+    c.header('x-consul-index', String(faults.staleReads ? snapshotIndex : index))
     const found = select(c.req.param('key'), c.req.query('recurse') !== undefined)
     if (found.length === 0) return c.body(null, 404)
     return c.json(found.map(([Key, { value, modifyIndex }]) =>
@@ -131,8 +131,8 @@
     const current = data.get(key)?.modifyIndex ?? 0
     if (cas !== undefined && Number(cas) !== current) return c.text('false')
     data.set(key, { value, modifyIndex: index + 1 })
-    changed()
-    return replyLost() ? cut(c) : c.text('true')
+    notifyWatches()
+    return losesReply() ? cut(c) : c.text('true')
   })
   app.delete('/v1/kv/:key{.+}', c => {
     calls.writes++
@@ -140,8 +140,8 @@
     const cas = c.req.query('cas')
     if (cas !== undefined && Number(cas) !== (data.get(key)?.modifyIndex ?? 0)) return c.text('false')
     data.delete(key)
-    changed()
-    return replyLost() ? cut(c) : c.text('true')
+    notifyWatches()
+    return losesReply() ? cut(c) : c.text('true')
   })
 
   const listening = await serve(app, port)
@@ -150,13 +150,13 @@
     faults,
     calls,
     peek: key => data.get(key)?.value,
-    keepCopy: () => {
-      copy = new Map(data)
-      copyIndex = index
+    takeSnapshot: () => {
+      snapshot = new Map(data)
+      snapshotIndex = index
     },
-    restoreCopy: () => {
-      data = new Map(copy)
-      changed()
+    restoreSnapshot: () => {
+      data = new Map(snapshot)
+      notifyWatches()
     }
   }
 }
--- a/packages/stand-ins/src/lib/plain-service.ts
+++ b/packages/stand-ins/src/lib/plain-service.ts
@@ -1,34 +1,34 @@
 /**
- * Stand-in for a plain service: bookings that must not run twice.
+ * Stand-in for a plain service that takes bookings, each of which must run at most once.
  */
 import { RESPONSE_ALREADY_SENT } from '@hono/node-server/utils/response'
 import { Hono } from 'hono'
-import { type Listening, type Raw, serve } from './serve.js'
+import { type ListeningStandIn, type RawBindings, serve } from './serve.js'
 
 /** Faults of the service. */
 export interface PlainFaults {
-  /** Ms before a call runs. */
+  /** Delay in ms before a booking runs. */
   delay: number
-  /** The next so many bookings are made but lose their reply. */
+  /** This many of the next bookings are made but lose their reply. */
   lostReplies: number
   /** Share of bookings that are made but lose their reply. */
   lostShare: number
 }
 
-/** The stand-in with its switches and its record. */
-export interface PlainService extends Listening {
+/** The stand-in, its fault switches and its records. */
+export interface PlainService extends ListeningStandIn {
   readonly faults: PlainFaults
-  /** How often each booking ran, by the token in its body. */
+  /** Number of runs of each booking, by the token in its body. */
   readonly bookings: Map<string, number>
   readonly running: () => number
-  /** Headers of the last call of `/echo`. */
+  /** Request headers of the last call of `/echo`. */
   readonly echoed: () => Record<string, string>
 }
 
 /**
  * Starts a plain service with `POST /reservations` and `GET /stock`.
  *
- * @param port - 0 lets the kernel choose
+ * @param port - 0 lets the kernel choose one
  */
 export async function startPlainService (port = 0): Promise<PlainService> {
   const faults: PlainFaults = { delay: 0, lostReplies: 0, lostShare: 0 }
@@ -36,7 +36,7 @@
   let running = 0
   let echoed: Record<string, string> = {}
 
-  function replyLost (): boolean {
+  function losesReply (): boolean {
     if (faults.lostReplies > 0) {
       faults.lostReplies--
       return true
@@ -44,7 +44,7 @@
     return Math.random() < faults.lostShare
   }
 
-  const app = new Hono<Raw>()
+  const app = new Hono<RawBindings>()
   app.get('/health', c => c.text('ok'))
   app.get('/stock', c => c.json({ chairs: 12, accept: c.req.header('accept') }))
   app.all('/echo', c => {
@@ -57,7 +57,7 @@
     if (faults.delay > 0) await new Promise(resolve => { setTimeout(resolve, faults.delay) })
     running--
     bookings.set(token, (bookings.get(token) ?? 0) + 1)
-    if (!replyLost()) return c.json({ booked: token, number: bookings.size }, 201, { 'x-booking': token })
+    if (!losesReply()) return c.json({ booked: token, number: bookings.size }, 201, { 'x-booking': token })
     c.env.incoming.socket.destroy()
     return RESPONSE_ALREADY_SENT
   })
--- a/packages/stand-ins/src/lib/serve.ts
+++ b/packages/stand-ins/src/lib/serve.ts
@@ -1,5 +1,5 @@
 /**
- * Starts a hono application on a port that the kernel chooses.
+ * Serves a Hono application on a loopback port.
  */
 import type { Server } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -7,23 +7,23 @@
 import type { Hono } from 'hono'
 
 /** Bindings that give handlers the raw request and response. */
-export interface Raw { Bindings: HttpBindings }
+export interface RawBindings { Bindings: HttpBindings }
 
-/** A stand-in that listens. */
-export interface Listening {
+/** A stand-in that listens on a port. */
+export interface ListeningStandIn {
   readonly url: string
   readonly port: number
-  /** Stops listening and cuts all connections. */
+  /** Stops listening and closes all connections. */
   close: () => Promise<void>
 }
 
 /**
- * Serves an application on loopback.
+ * Starts a server for a stand-in on loopback.
  *
- * @param app - routes
- * @param port - 0 lets the kernel choose
+ * @param app - routes of the stand-in
+ * @param port - 0 lets the kernel choose one
  */
-export async function serve (app: Hono<Raw>, port = 0): Promise<Listening> {
+export async function serve (app: Hono<RawBindings>, port = 0): Promise<ListeningStandIn> {
   const server = createAdaptorServer({ fetch: app.fetch }) as Server
   await new Promise<void>((resolve, reject) => {
     server.once('error', reject)
--- a/packages/stand-ins/src/lib/weight-store.ts
+++ b/packages/stand-ins/src/lib/weight-store.ts
@@ -2,23 +2,23 @@
  * Stand-in for the rate-limited store of adapter weights.
  */
 import { Hono } from 'hono'
-import { type Listening, type Raw, serve } from './serve.js'
+import { type ListeningStandIn, type RawBindings, serve } from './serve.js'
 
-/** Rates of the store. */
+/** Rate limits of the store. */
 export interface WeightStoreLimits {
-  /** Downloads that may begin in one second; more are answered 429. */
+  /** Downloads that may begin in one second; further ones are answered 429. */
   readonly perSecond: number
-  /** Downloads that run at full speed together; more share that speed. */
+  /** Downloads that run at full speed concurrently; with more, all share that speed. */
   readonly fullSpeed: number
-  /** Ms of one download at full speed. */
+  /** Duration in ms of one download at full speed. */
   readonly loadMs: number
 }
 
-/** The stand-in with its switches and counts. */
-export interface WeightStore extends Listening {
+/** The stand-in, its fault switches and its counts. */
+export interface WeightStore extends ListeningStandIn {
   /** Share of downloads that fail. */
   failShare: number
-  /** Multiplies the time of a download. */
+  /** Factor by which downloads take longer. */
   slowness: number
   readonly counts: { served: number, refused: number, failed: number, mostAtOnce: number }
 }
@@ -28,13 +28,13 @@
 /**
  * Starts the weight store.
  *
- * @param limits - its rates
+ * @param limits - its rate limits
  */
 export async function startWeightStore (limits: WeightStoreLimits): Promise<WeightStore> {
   let active = 0
   let begun: number[] = []
 
-  /** Each download advances by its share of the store's speed. */
+  /** Simulates a download, which advances by its share of the store's speed. */
   async function transfer (): Promise<void> {
     let left = limits.loadMs * store.slowness
     let last = performance.now()
@@ -46,7 +46,7 @@
     }
   }
 
-  const app = new Hono<Raw>()
+  const app = new Hono<RawBindings>()
   app.get('/weights/:path{.+}', async c => {
     const now = performance.now()
     begun = begun.filter(at => now - at < 1_000)
--- a/packages/stand-ins/src/main.ts
+++ b/packages/stand-ins/src/main.ts
@@ -1,5 +1,5 @@
 /**
- * One stand-in as a process of its own, for benchmarks: `main.js engine|plain [JSON]`.
+ * Runs one stand-in as a process of its own, for benchmarks: `main.js engine|plain [JSON]`.
  */
 import { type EngineOptions, startModelEngine } from './lib/model-engine.js'
 import { startPlainService } from './lib/plain-service.js'
