--- a/packages/bench/src/demo.ts
+++ b/packages/bench/src/demo.ts
@@ -1,5 +1,5 @@
 /**
- * The demo: a whole deployment on loopback, real traffic, a summary.
+ * The demo: starts a whole deployment on loopback, sends real traffic and prints a summary.
  */
 import { build as buildHistogram } from 'hdr-histogram-js'
 import { adapterName, Fleet } from './lib/fleet.js'
@@ -13,7 +13,7 @@
 const adapterCount = 200
 const tokens = 12
 
-function say (line: string): void { process.stdout.write(`${line}\n`) }
+function print (line: string): void { process.stdout.write(`${line}\n`) }
 
 function percentiles (values: readonly number[]): string {
   const histogram = buildHistogram()
@@ -30,13 +30,13 @@
     const url = fleet.entryUrl(i)
     if (i % 4 === 3) open.push(book(url, `booking-${i}`, { 'idempotency-key': `key-${i}` }))
     else open.push(complete(url, adapterName(rank(random)), `prompt-${i}`, tokens, true))
-    if (i % 50 === 49) say(`  sent ${i + 1} of ${completions + bookings}`)
+    if (i % 50 === 49) print(`  sent ${i + 1} of ${completions + bookings}`)
     await new Promise(resolve => { setTimeout(resolve, random.exponential(meanGapMs)) })
   }
   return Promise.all(open)
 }
 
-/** Repeats every booking through the other entry; each must get the first answer. */
+/** Repeats every booking through the other entry; each repeat must get the first answer. */
 async function repeatBookings (fleet: Fleet, first: readonly CallerResult[]): Promise<number> {
   const repeats = await Promise.all(first
     .filter(result => result.kind === 'booking' && result.status === 201)
@@ -46,47 +46,47 @@
 
 function summarise (fleet: Fleet, results: readonly CallerResult[], replayed: number): boolean {
   const chats = results.filter(result => result.kind === 'completion')
-  const good = chats.filter(result => result.status === 200 && result.whole)
+  const answered = chats.filter(result => result.status === 200 && result.whole)
   const booked = results.filter(result => result.kind === 'booking' && result.status === 201)
   const loads = fleet.engines.reduce((sum, engine) => sum + engine.loads, 0)
   const steps = fleet.engines.reduce((sum, engine) => sum + engine.fill.steps, 0)
   const filled = fleet.engines.reduce((sum, engine) => sum + engine.fill.placesFilled, 0)
   const runs = fleet.plains.flatMap(plain => [...plain.bookings.values()])
   const once = runs.filter(count => count === 1).length
-  say('')
-  say(`completions      ${good.length} of ${chats.length} answered whole`)
-  say(`  first token    ${percentiles(good.map(result => result.firstMs))}`)
-  say(`  whole answer   ${percentiles(good.map(result => result.totalMs))}`)
-  say(`adapter loads    ${loads}, at most ${fleet.weights.counts.mostAtOnce} at once, ${fleet.weights.counts.refused} refused by the weight store`)
-  say(`batch fill       ${(100 * filled / (steps * fleet.size.places)).toFixed(0)} % of places while busy`)
-  say(`bookings         ${booked.length} confirmed, ${once} ran exactly once, ${runs.length - once} ran more than once`)
-  say(`  repeats        ${replayed} of ${booked.length} got the first answer through another entry`)
-  say(`key-value calls  ${fleet.kv.calls.reads} reads (${fleet.kv.calls.watches} of them watches), ${fleet.kv.calls.writes} writes`)
-  return good.length === chats.length && once === bookings && booked.length === bookings && replayed === bookings
+  print('')
+  print(`completions      ${answered.length} of ${chats.length} answered whole`)
+  print(`  first token    ${percentiles(answered.map(result => result.firstMs))}`)
+  print(`  whole answer   ${percentiles(answered.map(result => result.totalMs))}`)
+  print(`adapter loads    ${loads}, at most ${fleet.weights.counts.mostAtOnce} at once, ${fleet.weights.counts.refused} refused by the weight store`)
+  print(`batch fill       ${(100 * filled / (steps * fleet.size.places)).toFixed(0)} % of batch slots while busy`)
+  print(`bookings         ${booked.length} confirmed, ${once} ran exactly once, ${runs.length - once} ran more than once`)
+  print(`  repeats        ${replayed} of ${booked.length} got the first answer through another entry`)
+  print(`key-value calls  ${fleet.kv.calls.reads} reads (${fleet.kv.calls.watches} of them watches), ${fleet.kv.calls.writes} writes`)
+  return answered.length === chats.length && once === bookings && booked.length === bookings && replayed === bookings
 }
 
 function printAddresses (fleet: Fleet): void {
   const url = fleet.entryUrl(0)
-  say('')
-  say('Running. Stop with Ctrl-C. Try:')
-  say(`  curl -N ${url}/v1/completions -H 'content-type: application/json' -d '{"model":"${adapterName(0)}","prompt":"hello","max_tokens":8,"stream":true}'`)
-  say(`  curl ${url}/services/booking/reservations -H 'content-type: application/json' -H 'idempotency-key: one' -d '{"token":"one"}'`)
-  say(`  curl http://127.0.0.1:${fleet.entries[0]!.operatorPort}/status -H 'authorization: Bearer ${launcherToken}'`)
-  say('')
-  say('For the command line:')
-  say(`  export HAZELFORD_KV=${fleet.kv.url} HAZELFORD_HOSTS=${fleet.hostList.url} HAZELFORD_TOKEN=${launcherToken}`)
-  say('  npx hazelford status')
+  print('')
+  print('Running. Stop with Ctrl-C. Try:')
+  print(`  curl -N ${url}/v1/completions -H 'content-type: application/json' -d '{"model":"${adapterName(0)}","prompt":"hello","max_tokens":8,"stream":true}'`)
+  print(`  curl ${url}/services/booking/reservations -H 'content-type: application/json' -H 'idempotency-key: one' -d '{"token":"one"}'`)
+  print(`  curl http://127.0.0.1:${fleet.entries[0]!.operatorPort}/status -H 'authorization: Bearer ${launcherToken}'`)
+  print('')
+  print('For the command line:')
+  print(`  export HAZELFORD_KV=${fleet.kv.url} HAZELFORD_HOSTS=${fleet.hostList.url} HAZELFORD_TOKEN=${launcherToken}`)
+  print('  npx hazelford status')
 }
 
 async function main (): Promise<void> {
-  say('Starting a deployment on loopback:')
+  print('Starting a deployment on loopback:')
   const fleet = await Fleet.start({
     models: 3, plains: 2, entries: 2, zones: 2, adapters: adapterCount, slots: 8, places: 8, stepMs: 10, loadsPerSecond: 40, loadsAtOnce: 2, loadMs: 25
-  }, step => say(`  ${step}`))
-  say(`Sending ${completions} completions over ${adapterCount} adapters and ${bookings} bookings:`)
+  }, step => print(`  ${step}`))
+  print(`Sending ${completions} completions over ${adapterCount} adapters and ${bookings} bookings:`)
   const results = await sendTraffic(fleet)
   const replayed = await repeatBookings(fleet, results)
-  const good = summarise(fleet, results, replayed)
+  const isCorrect = summarise(fleet, results, replayed)
   if (process.argv.includes('--keep')) {
     printAddresses(fleet)
     await new Promise<void>(resolve => {
@@ -96,8 +96,8 @@
   }
   await closeCallers()
   await fleet.stop()
-  say(good ? 'All as promised.' : 'NOT as promised; see above.')
-  process.exitCode = good ? 0 : 1
+  print(isCorrect ? 'All guarantees held.' : 'Guarantees were VIOLATED; see above.')
+  process.exitCode = isCorrect ? 0 : 1
 }
 
 await main()
--- a/packages/bench/src/guards.ts
+++ b/packages/bench/src/guards.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run guards -- [words of a promise]`: takes each guard out of the built code and runs its test, which
- * must then fail. A test that passes without its guard proves nothing.
+ * `npm run guards -- [part of a guarantee]`: removes each guard from the built code and runs its test, which
+ * must then fail. A test that passes without its guard does not protect the guarantee.
  */
 import { spawnSync } from 'node:child_process'
 import { readFileSync, writeFileSync } from 'node:fs'
@@ -13,34 +13,34 @@
   return spawnSync(process.execPath, args, { timeout: timeoutMs }).status === 0
 }
 
-/** Whether the test fails without the guard. The built file is put back in any case. */
-function bites (guard: Guard): boolean {
+/** Whether the test fails without the guard. The built files are restored in any case. */
+function isDetected (guard: Guard): boolean {
   const edits = guard.also === undefined ? [guard] : [guard, guard.also]
-  const putBack = edits.map(takeOut)
+  const restores = edits.map(applyEdit)
   try {
     return !testPasses(guard)
   } finally {
-    // Both edits may be of one file: the last one made goes first.
-    for (const undo of putBack.reverse()) undo()
+    // Both edits may change the same file, so the last one is undone first.
+    for (const restore of restores.reverse()) restore()
   }
 }
 
-/** Makes an edit and gives what undoes it. */
-function takeOut (edit: Edit): () => void {
-  const whole = readFileSync(edit.file, 'utf8')
-  const without = whole.replace(edit.find, () => edit.replace)
-  if (without === whole) throw new Error(`${edit.file} has no "${edit.find}". Correct the guard's entry.`)
-  writeFileSync(edit.file, without)
-  return () => writeFileSync(edit.file, whole)
+/** Applies an edit and returns a function that restores the file. */
+function applyEdit (edit: Edit): () => void {
+  const original = readFileSync(edit.file, 'utf8')
+  const edited = original.replace(edit.find, () => edit.replace)
+  if (edited === original) throw new Error(`${edit.file} does not contain "${edit.find}"; correct the guard's entry`)
+  writeFileSync(edit.file, edited)
+  return () => writeFileSync(edit.file, original)
 }
 
-const wanted = process.argv[2] ?? ''
-const chosen = guards.filter(guard => guard.promise.includes(wanted))
-let blind = 0
+const nameFilter = process.argv[2] ?? ''
+const chosen = guards.filter(guard => guard.guarantee.includes(nameFilter))
+let undetected = 0
 for (const guard of chosen) {
-  const bit = bites(guard)
-  if (!bit) blind++
-  process.stdout.write(`${bit ? 'fails without it' : 'PASSES WITHOUT IT'}  ${guard.promise}\n`)
+  const detected = isDetected(guard)
+  if (!detected) undetected++
+  process.stdout.write(`${detected ? 'fails without it' : 'PASSES WITHOUT IT'}  ${guard.guarantee}\n`)
 }
-process.stdout.write(`${chosen.length - blind} of ${chosen.length} guards are held by their tests\n`)
-process.exitCode = blind === 0 ? 0 : 1
+process.stdout.write(`${chosen.length - undetected} of ${chosen.length} guards are covered by their tests\n`)
+process.exitCode = undetected === 0 ? 0 : 1
--- a/packages/bench/src/index.ts
+++ b/packages/bench/src/index.ts
@@ -1,4 +1,4 @@
-/** Launchers and loads, for tests of other packages. @packageDocumentation */
+/** Launchers, load generators and random numbers, for tests of other packages. @packageDocumentation */
 export * from './lib/callers.js'
 export * from './lib/config-text.js'
 export * from './lib/daemon-process.js'
--- a/packages/bench/src/lib/bench-path.ts
+++ b/packages/bench/src/lib/bench-path.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- path`: what one entry and one sidecar carry and add, beside
- * calling the same stand-in directly in the same run.
+ * `npm run bench -- path`: throughput of one entry and one sidecar and the latency that they add,
+ * compared with direct calls of the same stand-in in the same run.
  */
 import { configKey, nextDocument } from '@hazelford/config'
 import { createKvClient } from '@hazelford/consul'
@@ -14,12 +14,12 @@
 const callers = 64
 const throughputMs = 5_000
 const latencyMs = 5_000
-const tenthRate = 500
+const latencyRate = 500
 const streams = 2_000
 const stepMs = 33
 const streamTokens = 100_000
 const streamWindowMs = 6_000
-const direct = { stock: '/stock', completions: '/v1/completions' } as const
+const directPaths = { stock: '/stock', completions: '/v1/completions' } as const
 
 const text = `[services.chat]
 kind = "model"
@@ -39,14 +39,14 @@
 ${adapter} = "1"
 `
 
-interface SeenUsage {
+interface StatusReply {
   readonly memory: { readonly rss: number }
   readonly upstreams?: readonly { readonly state: string }[]
 }
 
-async function status (daemon: DaemonProcess): Promise<SeenUsage> {
+async function status (daemon: DaemonProcess): Promise<StatusReply> {
   const res = await fetch(`http://127.0.0.1:${daemon.operatorPort}/status`, { headers: { authorization: `Bearer ${launcherToken}` } })
-  return await res.json() as SeenUsage
+  return await res.json() as StatusReply
 }
 
 async function rssMb (daemon: DaemonProcess): Promise<number> {
@@ -61,8 +61,8 @@
   }
 }
 
-/** Loads the adapter into the engine under a name of its own, for the direct calls. */
-async function loadDirect (engineUrl: string): Promise<void> {
+/** Loads the adapter into the engine under its plain name, for the direct calls. */
+async function loadAdapter (engineUrl: string): Promise<void> {
   await fetch(`${engineUrl}/v1/load_lora_adapter`, {
     method: 'POST',
     headers: { 'content-type': 'application/json', 'x-fencing-number': '1000000' },
@@ -73,10 +73,10 @@
 /**
  * Runs the benchmark.
  *
- * @param say - takes each line of the report
- * @param nodeArgs - for the daemons, such as `--cpu-prof`
+ * @param print - prints one line of the report
+ * @param nodeArgs - Node.js options for the daemons, such as `--cpu-prof`
  */
-export async function benchPath (say: (line: string) => void, nodeArgs: readonly string[]): Promise<void> {
+export async function benchPath (print: (line: string) => void, nodeArgs: readonly string[]): Promise<void> {
   const kv = await startKvService()
   const hostList = await startHostListService()
   const fleet = { kvUrl: kv.url, hostListUrl: hostList.url }
@@ -94,8 +94,8 @@
   await untilServing(entry, 2)
   const entryUrl = `http://127.0.0.1:${entry.port}`
 
-  await benchCalls(say, { url: plainUrl, path: direct.stock }, { url: entryUrl, path: '/services/booking/stock' })
-  await benchStreams(say, engine, entry, modelSidecar)
+  await benchCalls(print, { url: plainUrl, path: directPaths.stock }, { url: entryUrl, path: '/services/booking/stock' })
+  await benchStreams(print, engine, entry, modelSidecar)
 
   for (const daemon of [entry, modelSidecar, plainSidecar, engine, plain]) daemon.signal('SIGTERM')
   await Promise.all([entry, modelSidecar, plainSidecar, engine, plain].map(daemon => daemon.exited))
@@ -103,19 +103,19 @@
   await hostList.close()
 }
 
-async function benchCalls (say: (line: string) => void, straight: Target, through: Target): Promise<void> {
-  await closedLoop(straight, callers, 1_000)
-  await closedLoop(through, callers, 1_000)
-  const a = await closedLoop(straight, callers, throughputMs)
-  const b = await closedLoop(through, callers, throughputMs)
-  say(`short requests/s    direct ${a.perSecond.toFixed(0)}, through entry and sidecar ${b.perSecond.toFixed(0)} (ratio ${(b.perSecond / a.perSecond).toFixed(2)}, failed ${b.failed}); goal 5000: ${b.perSecond >= 5_000 ? 'met' : 'missed'}`)
-  const c = await openLoop(straight, tenthRate, latencyMs)
-  const d = await openLoop(through, tenthRate, latencyMs)
-  const added = { p50: d.p50 - c.p50, p99: d.p99 - c.p99 }
-  say(`added latency       at ${tenthRate}/s: p50 ${c.p50.toFixed(2)} -> ${d.p50.toFixed(2)} ms (+${added.p50.toFixed(2)}; goal 1: ${added.p50 <= 1 ? 'met' : 'missed'}), p99 ${c.p99.toFixed(2)} -> ${d.p99.toFixed(2)} ms (+${added.p99.toFixed(2)}; goal 5: ${added.p99 <= 5 ? 'met' : 'missed'})`)
+async function benchCalls (print: (line: string) => void, directTarget: Target, proxiedTarget: Target): Promise<void> {
+  await closedLoop(directTarget, callers, 1_000)
+  await closedLoop(proxiedTarget, callers, 1_000)
+  const directRate = await closedLoop(directTarget, callers, throughputMs)
+  const proxiedRate = await closedLoop(proxiedTarget, callers, throughputMs)
+  print(`short requests/s    direct ${directRate.perSecond.toFixed(0)}, through entry and sidecar ${proxiedRate.perSecond.toFixed(0)} (ratio ${(proxiedRate.perSecond / directRate.perSecond).toFixed(2)}, failed ${proxiedRate.failed}); goal 5000: ${proxiedRate.perSecond >= 5_000 ? 'met' : 'missed'}`)
+  const directLatency = await openLoop(directTarget, latencyRate, latencyMs)
+  const proxiedLatency = await openLoop(proxiedTarget, latencyRate, latencyMs)
+  const added = { p50: proxiedLatency.p50 - directLatency.p50, p99: proxiedLatency.p99 - directLatency.p99 }
+  print(`added latency       at ${latencyRate}/s: p50 ${directLatency.p50.toFixed(2)} -> ${proxiedLatency.p50.toFixed(2)} ms (+${added.p50.toFixed(2)}; goal 1: ${added.p50 <= 1 ? 'met' : 'missed'}), p99 ${directLatency.p99.toFixed(2)} -> ${proxiedLatency.p99.toFixed(2)} ms (+${added.p99.toFixed(2)}; goal 5: ${added.p99 <= 5 ? 'met' : 'missed'})`)
 }
 
-/** Processor time of processes over a window, in shares of a core. */
+/** Measures the processor time of processes over a window, as shares of a core. */
 class CpuWindow {
   private _before: readonly number[] = []
   private _from = 0
@@ -123,8 +123,8 @@
 
   constructor (private readonly _daemons: readonly DaemonProcess[]) {}
 
-  /** Called when the window opens and again when it closes. */
-  edge (): void {
+  /** Takes a sample; called when the window opens and again when it closes. */
+  sample (): void {
     const now = this._daemons.map(daemon => cpuMs(daemon.pid))
     if (this._from > 0) this.shares = now.map((ms, i) => (ms - this._before[i]!) / (performance.now() - this._from))
     this._before = now
@@ -134,21 +134,21 @@
 
 function percent (share: number | undefined): string { return `${(100 * (share ?? 0)).toFixed(0)} %` }
 
-async function benchStreams (say: (line: string) => void, engine: DaemonProcess, entry: DaemonProcess, sidecar: DaemonProcess): Promise<void> {
+async function benchStreams (print: (line: string) => void, engine: DaemonProcess, entry: DaemonProcess, sidecar: DaemonProcess): Promise<void> {
   const engineUrl = `http://127.0.0.1:${engine.port}`
   const entryUrl = `http://127.0.0.1:${entry.port}`
-  await loadDirect(engineUrl)
-  const straightCpu = new CpuWindow([engine])
-  const straight = await manyStreams({ url: engineUrl, path: direct.completions }, adapter, streams, streamTokens, streamWindowMs, async () => straightCpu.edge())
+  await loadAdapter(engineUrl)
+  const directCpu = new CpuWindow([engine])
+  const directLoad = await manyStreams({ url: engineUrl, path: directPaths.completions }, adapter, streams, streamTokens, streamWindowMs, async () => directCpu.sample())
   await new Promise(resolve => { setTimeout(resolve, 1_000) })
   const cpu = new CpuWindow([engine, entry, sidecar])
   let rss = { entry: 0, sidecar: 0 }
-  const through = await manyStreams({ url: entryUrl, path: direct.completions }, adapter, streams, streamTokens, streamWindowMs, async () => {
-    cpu.edge()
+  const proxiedLoad = await manyStreams({ url: entryUrl, path: directPaths.completions }, adapter, streams, streamTokens, streamWindowMs, async () => {
+    cpu.sample()
     rss = { entry: await rssMb(entry), sidecar: await rssMb(sidecar) }
   })
-  const wanted = Math.round(streams * 1_000 / stepMs)
-  say(`streamed chunks/s   offered ${wanted}; direct ${straight.chunksPerSecond.toFixed(0)}, through entry and sidecar ${through.chunksPerSecond.toFixed(0)} (ratio ${(through.chunksPerSecond / straight.chunksPerSecond).toFixed(2)}, failed ${through.failed}); goal 60000: ${through.chunksPerSecond >= 60_000 ? 'met' : 'missed'}`)
-  say(`processor           direct: engine stand-in ${percent(straightCpu.shares[0])} of a core; through: engine stand-in ${percent(cpu.shares[0])}, entry ${percent(cpu.shares[1])}, sidecar ${percent(cpu.shares[2])}`)
-  say(`memory              with ${streams} open streams: entry ${rss.entry.toFixed(0)} MB, sidecar ${rss.sidecar.toFixed(0)} MB; goal 256: ${Math.max(rss.entry, rss.sidecar) < 256 ? 'met' : 'missed'}`)
+  const offered = Math.round(streams * 1_000 / stepMs)
+  print(`streamed chunks/s   offered ${offered}; direct ${directLoad.chunksPerSecond.toFixed(0)}, through entry and sidecar ${proxiedLoad.chunksPerSecond.toFixed(0)} (ratio ${(proxiedLoad.chunksPerSecond / directLoad.chunksPerSecond).toFixed(2)}, failed ${proxiedLoad.failed}); goal 60000: ${proxiedLoad.chunksPerSecond >= 60_000 ? 'met' : 'missed'}`)
+  print(`processor           direct: engine stand-in ${percent(directCpu.shares[0])} of a core; through: engine stand-in ${percent(cpu.shares[0])}, entry ${percent(cpu.shares[1])}, sidecar ${percent(cpu.shares[2])}`)
+  print(`memory              with ${streams} open streams: entry ${rss.entry.toFixed(0)} MB, sidecar ${rss.sidecar.toFixed(0)} MB; goal 256: ${Math.max(rss.entry, rss.sidecar) < 256 ? 'met' : 'missed'}`)
 }
--- a/packages/bench/src/lib/bench-policy.ts
+++ b/packages/bench/src/lib/bench-policy.ts
@@ -1,15 +1,15 @@
 /**
- * `npm run bench -- policy`: the decisions beside what users would build, on the same
- * arrivals.
+ * `npm run bench -- policy`: compares hazelford's decisions with the policies that users would
+ * otherwise build, on the same arrivals.
  */
 import { mkdirSync, writeFileSync } from 'node:fs'
 import { lowerBound } from './policy/bound.js'
 import { type Conditions, type Deployment, drawArrivals, kalgoorlie, vozikom } from './policy/deployment.js'
 import { type Outcome, runExperiment } from './policy/experiment.js'
-import { createHazelford } from './policy/hazelford-policy.js'
+import { createHazelfordPolicy } from './policy/hazelford-policy.js'
 import { policyPage } from './policy/policy-page.js'
 import type { PolicyRow } from './policy/policy-row.js'
-import { createHash, createNaive } from './policy/simple-policies.js'
+import { createRendezvousPolicy, createNaivePolicy } from './policy/simple-policies.js'
 
 const seconds = 240
 
@@ -31,9 +31,9 @@
   return {
     deployment: deployment.name,
     condition,
-    naive: runExperiment(createNaive, deployment, full, arrivals),
-    hash: runExperiment(createHash, deployment, full, arrivals),
-    hazelford: runExperiment(createHazelford, deployment, full, arrivals),
+    naive: runExperiment(createNaivePolicy, deployment, full, arrivals),
+    hash: runExperiment(createRendezvousPolicy, deployment, full, arrivals),
+    hazelford: runExperiment(createHazelfordPolicy, deployment, full, arrivals),
     bound: lowerBound(arrivals, deployment, full.storeSlowness ?? 1)
   }
 }
@@ -60,21 +60,21 @@
 }
 
 /**
- * Runs all conditions and prints tables; JSON and a page with plots go to a folder.
+ * Runs all conditions, prints tables, and writes JSON and a page with plots to a folder.
  *
- * @param say - takes each line
- * @param folder - where the files go
- * @param seed - of arrivals and chance
+ * @param print - prints one line
+ * @param folder - output folder
+ * @param seed - seed of arrivals and random choices
  */
-export function benchPolicy (say: (line: string) => void, folder: string, seed: number): readonly PolicyRow[] {
+export function benchPolicy (print: (line: string) => void, folder: string, seed: number): readonly PolicyRow[] {
   const rows: PolicyRow[] = []
   for (const deployment of [vozikom, kalgoorlie]) {
     for (const [condition, part] of conditions) {
       const row = runRow(deployment, condition, part, seed)
       rows.push(row)
-      say(`${deployment.name}, ${condition}: ${row.hazelford.arrived} requests in ${seconds} s`)
-      say(table(row))
-      say('')
+      print(`${deployment.name}, ${condition}: ${row.hazelford.arrived} requests in ${seconds} s`)
+      print(table(row))
+      print('')
     }
   }
   mkdirSync(folder, { recursive: true })
--- a/packages/bench/src/lib/bench-slopes.ts
+++ b/packages/bench/src/lib/bench-slopes.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run bench -- slopes`: how the cost of control grows, on one machine.
+ * `npm run bench -- slopes`: how the cost of control traffic and decisions grows, measured on one host.
  */
 import { mkdirSync, writeFileSync } from 'node:fs'
 import { configKey, nextDocument, parseConfig } from '@hazelford/config'
@@ -24,7 +24,7 @@
 
 function pause (ms: number): Promise<void> { return new Promise(resolve => { setTimeout(resolve, ms) }) }
 
-/** Least squares. */
+/** Fits a line through points by least squares. */
 export function fit (name: string, unitX: string, unitY: string, points: readonly SlopePoint[]): Slope {
   const meanX = points.reduce((sum, point) => sum + point.x, 0) / points.length
   const meanY = points.reduce((sum, point) => sum + point.y, 0) / points.length
@@ -119,7 +119,7 @@
     times.push({ x: count, y: performance.now() - from })
     sizes.push({ x: count, y: text.length / 1_000 })
     memory.push({ x: count, y: Math.max(0, process.memoryUsage().heapUsed - heapBefore) / 2 ** 20 })
-    if (parsed.isErr()) throw new Error('The text is wrong.')
+    if (parsed.isErr()) throw new Error('the generated configuration is invalid')
   }
   return [
     fit('configuration: text by adapters', 'adapters', 'kB', sizes),
@@ -163,14 +163,14 @@
 /**
  * Measures all slopes.
  *
- * @param say - takes each line
- * @param folder - where JSON and plots go
+ * @param print - prints one line
+ * @param folder - output folder for JSON and plots
  */
-export async function benchSlopes (say: (line: string) => void, folder: string): Promise<void> {
+export async function benchSlopes (print: (line: string) => void, folder: string): Promise<void> {
   const slopes = [...decisionSlopes(), ...configSlopes(), ...await sidecarSlopes(), ...await entrySlopes()]
   for (const slope of slopes) {
     const points = slope.points.map(point => `${point.x}: ${point.y.toFixed(point.y < 10 ? 2 : 0)}`).join(', ')
-    say(`${slope.name}: ${slope.base.toFixed(2)} + ${slope.perUnit.toPrecision(3)} ${slope.unitY} for each of the ${slope.unitX} (${points})`)
+    print(`${slope.name}: ${slope.base.toFixed(2)} + ${slope.perUnit.toPrecision(3)} ${slope.unitY} for each of the ${slope.unitX} (${points})`)
   }
   mkdirSync(folder, { recursive: true })
   writeFileSync(`${folder}/slopes.json`, JSON.stringify(slopes, undefined, 2))
--- a/packages/bench/src/lib/callers.ts
+++ b/packages/bench/src/lib/callers.ts
@@ -1,9 +1,9 @@
 /**
- * Callers that remember what they were told.
+ * Callers that record the answers they get.
  */
 import { Pool } from 'undici'
 
-/** What a caller saw of one request. */
+/** The outcome of one request as its caller sees it. */
 export interface CallerResult {
   readonly kind: 'completion' | 'booking'
   readonly token: string
@@ -11,7 +11,7 @@
   readonly status: number
   readonly verdict: string
   readonly code: string
-  /** The answer came whole. */
+  /** Whether the answer arrived completely. */
   readonly whole: boolean
   /** Text of the answer. */
   readonly text: string
@@ -36,9 +36,9 @@
   pools.clear()
 }
 
-interface Reading { readonly text: string, readonly firstMs: number, readonly cut: boolean }
+interface ReadBody { readonly text: string, readonly firstMs: number, readonly cut: boolean }
 
-async function readAll (body: AsyncIterable<Buffer>, startedAt: number): Promise<Reading> {
+async function readAll (body: AsyncIterable<Buffer>, startedAt: number): Promise<ReadBody> {
   const parts: Buffer[] = []
   let firstMs = 0
   try {
@@ -66,7 +66,7 @@
   return (JSON.parse(body) as { choices: { text: string }[] }).choices[0]!.text
 }
 
-interface Sent {
+interface CallerRequest {
   readonly kind: CallerResult['kind']
   readonly token: string
   readonly model: string
@@ -76,15 +76,15 @@
   readonly body: object
 }
 
-async function send (sent: Sent): Promise<CallerResult> {
+async function send (call: CallerRequest): Promise<CallerResult> {
   const startedAt = performance.now()
-  const base = { kind: sent.kind, token: sent.token, model: sent.model }
+  const base = { kind: call.kind, token: call.token, model: call.model }
   try {
-    const res = await poolOf(sent.url).request({
+    const res = await poolOf(call.url).request({
       method: 'POST',
-      path: sent.path,
-      headers: { 'content-type': 'application/json', ...sent.headers },
-      body: JSON.stringify(sent.body),
+      path: call.path,
+      headers: { 'content-type': 'application/json', ...call.headers },
+      body: JSON.stringify(call.body),
       headersTimeout: 60_000,
       bodyTimeout: 60_000
     })
@@ -97,23 +97,23 @@
       verdict: String(res.headers['x-hazelford-verdict'] ?? ''),
       code: error?.code ?? '',
       whole: !cut && (!streamed || text.endsWith('data: [DONE]\n\n')),
-      text: streamed ? streamText(text) : wholeText(sent.kind, res.statusCode, text),
+      text: streamed ? streamText(text) : wholeText(call.kind, res.statusCode, text),
       firstMs,
       totalMs: performance.now() - startedAt,
       replayed: res.headers['idempotency-replayed'] === 'true'
     }
   } catch (error) {
-    // The connection broke before an answer: the caller knows nothing.
+    // The connection broke before an answer arrived, so the caller does not know the outcome.
     return { ...base, status: 0, verdict: '', code: (error as Error).message, whole: false, text: '', firstMs: 0, totalMs: performance.now() - startedAt, replayed: false }
   }
 }
 
-/** Asks for a completion. */
+/** Requests a completion. */
 export function complete (url: string, model: string, token: string, maxTokens: number, stream: boolean, headers: Record<string, string> = {}): Promise<CallerResult> {
   return send({ kind: 'completion', token, model, url, path: '/v1/completions', headers, body: { model, prompt: token, max_tokens: maxTokens, stream } })
 }
 
-/** Books; the same token is the same booking. */
+/** Makes a booking; the same token names the same booking. */
 export function book (url: string, token: string, headers: Record<string, string> = {}): Promise<CallerResult> {
   return send({ kind: 'booking', token, model: '', url, path: '/services/booking/reservations', headers, body: { token } })
 }
--- a/packages/bench/src/lib/config-text.ts
+++ b/packages/bench/src/lib/config-text.ts
@@ -1,12 +1,13 @@
 /**
- * Configuration texts for fleets.
+ * Generates configuration texts for fleets.
  */
 
-/** What the operators of a fleet describe. */
+/** The contents of a fleet's configuration. */
 export interface FleetConfig {
   readonly models: readonly { readonly name: string, readonly fencing: 'checked' | 'ignored' }[]
   readonly plains: readonly string[]
   readonly slots: number
+  /** Batch slots of an engine. */
   readonly places: number
   readonly adapters: number
   readonly loadsPerSecond: number
@@ -14,13 +15,13 @@
   readonly drained?: readonly string[]
 }
 
-/** Name of an adapter by popularity, 0 first. */
+/** Name of the adapter with a popularity rank; 0 is the most popular. */
 export function adapterName (rank: number): string { return `branch-${String(rank).padStart(5, '0')}` }
 
 /**
- * Writes a configuration.
+ * Generates a configuration text.
  *
- * @param fleet - what it describes
+ * @param fleet - contents of the configuration
  */
 export function configText (fleet: FleetConfig): string {
   const drained = (fleet.drained ?? []).map(name => `"${name}"`).join(', ')
--- a/packages/bench/src/lib/daemon-process.ts
+++ b/packages/bench/src/lib/daemon-process.ts
@@ -1,5 +1,5 @@
 /**
- * A daemon as a child process of a launcher. Daemons themselves start no process.
+ * Runs daemons as child processes of a launcher. Daemons themselves start no processes.
  */
 import { type ChildProcess, spawn } from 'node:child_process'
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs'
@@ -7,7 +7,7 @@
 import { tmpdir } from 'node:os'
 import { dirname, join } from 'node:path'
 
-/** Token for the operator interfaces of demo and soak. */
+/** Operator token of the daemons that demo, soak and benchmarks start. */
 export const launcherToken = 'launcher-token-for-loopback-only'
 
 const require = createRequire(import.meta.url)
@@ -16,14 +16,14 @@
 const logLimit = 20_000
 const startTimeoutMs = 20_000
 
-/** A running daemon. */
+/** A running daemon or stand-in. */
 export interface DaemonProcess {
   readonly name: string
   readonly pid: number
   readonly port: number
   readonly operatorPort: number
   readonly signal: (signal: NodeJS.Signals) => void
-  /** Resolves with the exit code; null after a signal. */
+  /** Resolves with the exit code, or null after a signal. */
   readonly exited: Promise<number | null>
   readonly output: () => string
 }
@@ -40,7 +40,7 @@
       clearTimeout(timer)
       resolve(JSON.parse(text.split('\n')[0]!) as Ready)
     })
-    child.once('exit', code => reject(new Error(`${name} ended with ${code}.\n${output()}`)))
+    child.once('exit', code => reject(new Error(`${name} exited with ${code}.\n${output()}`)))
   })
 }
 
@@ -61,10 +61,10 @@
 /**
  * Starts a daemon.
  *
- * @param name - of the process
- * @param settings - TOML text
- * @param nodeArgs - for node, such as `--cpu-prof`
- * @returns once it listens
+ * @param name - name of the process
+ * @param settings - settings as TOML text
+ * @param nodeArgs - Node.js options, such as `--cpu-prof`
+ * @returns the process, once it listens
  */
 export function startDaemonProcess (name: string, settings: string, nodeArgs: readonly string[] = []): Promise<DaemonProcess> {
   const dir = mkdtempSync(join(tmpdir(), 'hazelford-'))
@@ -74,10 +74,10 @@
 }
 
 /**
- * Starts a stand-in as a process, so that it shares no core with what is measured.
+ * Starts a stand-in as a process of its own, so that it does not compete with the measured process for one core.
  *
- * @param kind - which one
- * @param options - of an engine
+ * @param kind - which stand-in
+ * @param options - options of an engine
  */
 export function startStandInProcess (kind: 'engine' | 'plain', options: object = {}): Promise<DaemonProcess> {
   return startChild(kind, [standInMain, kind, JSON.stringify(options)], () => {})
--- a/packages/bench/src/lib/fake-peers.ts
+++ b/packages/bench/src/lib/fake-peers.ts
@@ -1,13 +1,13 @@
 /**
- * Many fake peers in one process, to measure what each costs the other side.
+ * Runs many fake peers in one process, to measure what each peer costs the process under test.
  */
 import { ChannelCredentials, type ClientDuplexStream, Server, ServerCredentials, type ServerDuplexStream } from '@grpc/grpc-js'
 import { ChannelClient, channelOptions, ChannelService, type EntryBatch, EntryBatch as EntryBatchCodec, type SidecarBatch, SidecarBatch as SidecarBatchCodec, type SidecarHeartbeat } from '@hazelford/wire'
 
-/** Bytes that peers sent and received, as encoded. */
+/** Encoded bytes that the peers sent and received. */
 export interface PeerBytes { sent: number, received: number }
 
-/** Running peers. */
+/** Running fake peers. */
 export interface Peers {
   readonly ports: readonly number[]
   readonly bytes: PeerBytes
@@ -15,9 +15,9 @@
 }
 
 const heartbeatMs = 250
-const heldAdapters = 16
-/** A sidecar's adapters change about every two seconds at today's rate of loads. */
-const beatsPerChange = 8
+const loadedAdapters = 16
+/** A sidecar's adapters change about every two seconds at the rate of loads of the deployments: every eighth heartbeat lists them. */
+const heartbeatsPerAdapterChange = 8
 
 function heartbeat (revision: number): SidecarHeartbeat {
   return {
@@ -26,21 +26,21 @@
     running: 3,
     places: 8,
     queued: 0,
-    slots: heldAdapters,
+    slots: loadedAdapters,
     loadMs: 250,
     loadsWaiting: 0,
     serviceMs: 1_500,
     sameAdapters: false,
     endedUnder: [],
-    adapters: Array.from({ length: heldAdapters }, (_, i) => ({ adapter: `branch-${String(i).padStart(5, '0')}@2`, state: 'loaded', pins: i % 2 }))
+    adapters: Array.from({ length: loadedAdapters }, (_, i) => ({ adapter: `branch-${String(i).padStart(5, '0')}@2`, state: 'loaded', pins: i % 2 }))
   }
 }
 
 /**
  * Starts fake sidecars that send heartbeats and nothing else.
  *
- * @param count - how many, each on a port of its own
- * @param revision - that they report
+ * @param count - number of sidecars, each on a port of its own
+ * @param revision - configuration revision that they report
  */
 export async function startFakeSidecars (count: number, revision: number): Promise<Peers> {
   const bytes: PeerBytes = { sent: 0, received: 0 }
@@ -58,10 +58,10 @@
         stream.on('data', (batch: EntryBatch) => { bytes.received += EntryBatchCodec.encode(batch).finish().length })
         stream.on('error', () => {})
         send({ hlc: { wall: Date.now(), count: 0 }, frames: [{ body: { $case: 'welcome', value: { sidecar: `s${i}`, incarnation: `i${i}`, upstream: `m${i}`, revision, highestSeq: 0, open: [], report: heartbeat(revision), resumed: false } } }] })
-        let beats = 0
+        let heartbeats = 0
         timers.push(setInterval(() => {
           const full = heartbeat(revision)
-          const value = ++beats % beatsPerChange === 0 ? full : { ...full, adapters: [], sameAdapters: true }
+          const value = ++heartbeats % heartbeatsPerAdapterChange === 0 ? full : { ...full, adapters: [], sameAdapters: true }
           send({ hlc: { wall: Date.now(), count: 0 }, frames: [{ body: { $case: 'heartbeat', value } }] })
         }, heartbeatMs))
       }
@@ -82,11 +82,11 @@
 }
 
 /**
- * Opens fake entries to one sidecar.
+ * Connects fake entries to one sidecar.
  *
- * @param count - how many
+ * @param count - number of entries
  * @param target - `host:port` of the sidecar
- * @param revision - that they report
+ * @param revision - configuration revision that they report
  */
 export function startFakeEntries (count: number, target: string, revision: number): Peers {
   const bytes: PeerBytes = { sent: 0, received: 0 }
--- a/packages/bench/src/lib/fleet.ts
+++ b/packages/bench/src/lib/fleet.ts
@@ -1,5 +1,5 @@
 /**
- * A small deployment: embedded stand-ins, daemons as processes of their own.
+ * A small deployment: stand-ins run in this process, daemons as child processes.
  */
 import { type HostListService, type KvService, type ModelEngine, type PlainService, startHostListService, startKvService, startModelEngine, startPlainService, startWeightStore, type WeightStore } from '@hazelford/stand-ins'
 import { configKey, nextDocument } from '@hazelford/config'
@@ -8,7 +8,7 @@
 import { type DaemonProcess, launcherToken, startDaemonProcess } from './daemon-process.js'
 import { entrySettings, type FleetAddresses, sidecarSettings, type UpstreamAddress } from './settings-text.js'
 
-/** Size of a fleet. */
+/** Size of a fleet and speed of its stand-ins. */
 export interface FleetSize {
   readonly models: number
   readonly plains: number
@@ -16,6 +16,7 @@
   readonly zones: number
   readonly adapters: number
   readonly slots: number
+  /** Batch slots of an engine. */
   readonly places: number
   readonly stepMs: number
   readonly loadsPerSecond: number
@@ -27,7 +28,7 @@
 export class Fleet {
   readonly entries: DaemonProcess[] = []
   readonly sidecars = new Map<string, DaemonProcess>()
-  /** Entries that a balancer would not send callers to. */
+  /** Indexes of entries that a load balancer would not send callers to. */
   readonly outOfService = new Set<number>()
   private readonly _upstreams = new Map<string, { readonly address: UpstreamAddress, readonly zone: string }>()
   private _revision = 0
@@ -43,10 +44,10 @@
   ) {}
 
   /**
-   * Starts everything.
+   * Starts a fleet and waits until it serves.
    *
-   * @param size - how much of each
-   * @param progress - hears of each step
+   * @param size - number of each kind of process, and their limits
+   * @param progress - called with a description of each completed step
    */
   static async start (size: FleetSize, progress: (step: string) => void = () => {}): Promise<Fleet> {
     const { loadMs } = size
@@ -75,15 +76,15 @@
   /** Base URL of an entry. */
   entryUrl (index: number): string { return `http://127.0.0.1:${this.entries[index % this.entries.length]!.port}` }
 
-  /** Base URL of an entry in service, as a balancer would choose. */
+  /** Base URL of an entry in service, as a load balancer would choose it. */
   liveEntryUrl (index: number): string {
-    const live = this.entries.flatMap((_, i) => this.outOfService.has(i) ? [] : [i])
-    return this.entryUrl(live[index % live.length]!)
+    const inService = this.entries.flatMap((_, i) => this.outOfService.has(i) ? [] : [i])
+    return this.entryUrl(inService[index % inService.length]!)
   }
 
   zone (index: number): string { return `zone-${index % this.size.zones}` }
 
-  /** Puts a configuration in place, as an operator would. */
+  /** Applies a configuration, as an operator would. */
   async applyConfig (drained: readonly string[]): Promise<number> {
     const config: FleetConfig = {
       models: this.engines.map((_, i) => ({ name: `m${i}`, fencing: i % 2 === 0 ? 'checked' : 'ignored' })),
@@ -108,7 +109,7 @@
     return doc.revision
   }
 
-  /** Starts the sidecar of an upstream, on its old port if it had one. */
+  /** Starts the sidecar of an upstream and registers it in the host list. */
   async startSidecar (upstream: string): Promise<DaemonProcess> {
     const { address, zone } = this._upstreams.get(upstream)!
     const name = `sidecar-${upstream}`
@@ -118,7 +119,7 @@
     return daemon
   }
 
-  /** Starts an entry in a place. */
+  /** Starts the entry with an index, replacing an earlier one. */
   async startEntry (index: number): Promise<DaemonProcess> {
     const name = `entry-${index}`
     const zone = this.zone(index)
@@ -139,7 +140,7 @@
     }
   }
 
-  /** Ends every process and stand-in. */
+  /** Stops every process and stand-in. */
   async stop (): Promise<void> {
     const daemons = [...this.entries, ...this.sidecars.values()]
     for (const daemon of this.entries) daemon.signal('SIGTERM')
@@ -166,12 +167,12 @@
   }
 }
 
-interface SeenStatus { readonly revision: number, readonly upstreams: readonly { readonly name: string, readonly state: string }[] }
+interface StatusReply { readonly revision: number, readonly upstreams: readonly { readonly name: string, readonly state: string }[] }
 
-/** Asks a daemon for its status. */
-export async function readStatus (daemon: DaemonProcess): Promise<SeenStatus> {
+/** Requests the status of a daemon. */
+export async function readStatus (daemon: DaemonProcess): Promise<StatusReply> {
   const res = await fetch(`http://127.0.0.1:${daemon.operatorPort}/status`, { headers: { authorization: `Bearer ${launcherToken}` } })
-  return await res.json() as SeenStatus
+  return await res.json() as StatusReply
 }
 
 export { adapterName }
--- a/packages/bench/src/lib/guards.ts
+++ b/packages/bench/src/lib/guards.ts
@@ -1,5 +1,5 @@
 /**
- * Guards of the promises: each is taken out in turn, and its test must then fail.
+ * Guards of the system's guarantees: each is removed in turn, and its test must then fail.
  */
 import { entryGuards } from './guards/entry-guards.js'
 import type { Guard } from './guards/guard.js'
--- a/packages/bench/src/lib/guards/entry-guards.ts
+++ b/packages/bench/src/lib/guards/entry-guards.ts
@@ -1,12 +1,12 @@
 /**
- * Guards of entries without sidecars, each by itself.
+ * Guards in single entries of the deployment without sidecars.
  */
 import type { Guard } from './guard.js'
 
-/** Guards of entries without sidecars, each by itself. */
+/** Guards in single entries of the deployment without sidecars. */
 export const entryGuards: readonly Guard[] = [
   {
-    promise: 'direct answers: the id tells whose answer it is',
+    guarantee: 'direct answers: the request id must match the request',
     file: 'packages/direct/dist/lib/exchange.js',
     find: 'facts.requestId !== undefined && facts.requestId !== this._call.id',
     replace: 'false',
@@ -14,7 +14,7 @@
     scenario: 'an answer that can\'t be trusted'
   },
   {
-    promise: 'direct answers: an answer without a length goes out without one',
+    guarantee: 'direct answers: an answer without a length is passed on without one',
     file: 'packages/direct/dist/lib/caller-answer.js',
     find: 'answer.framed ?',
     replace: 'true ?',
@@ -22,7 +22,7 @@
     scenario: 'cut short'
   },
   {
-    promise: 'direct requests: what a lost booking did is not guessed',
+    guarantee: 'direct requests: a booking whose answer was lost is not sent again',
     file: 'packages/decisions/dist/lib/relay-flow.js',
     find: '!isIdempotent(request) ||',
     replace: '',
@@ -30,7 +30,7 @@
     scenario: 'any sequence of outcomes'
   },
   {
-    promise: 'direct requests: nothing is sent for a caller who has left',
+    guarantee: 'direct requests: nothing is sent for a caller that has disconnected',
     file: 'packages/direct/dist/lib/relay-task.js',
     find: 'setImmediate(() => setImmediate(() => this._placed(placed)));',
     replace: 'this._placed(placed);',
@@ -38,7 +38,7 @@
     scenario: 'before its request was read'
   },
   {
-    promise: 'outage: lapsed servers are not gone',
+    guarantee: 'store outage: servers whose records have lapsed stay members',
     file: 'packages/direct/dist/lib/membership.js',
     find: 'goneAt > now && upstream.record.state === \'ready\'',
     replace: 'false',
@@ -46,15 +46,15 @@
     scenario: 'records that lapse'
   },
   {
-    promise: 'direct configuration: never back to an older version',
-    file: 'packages/direct/dist/lib/config-holder.js',
+    guarantee: 'direct configuration: an older version never replaces a newer one',
+    file: 'packages/direct/dist/lib/current-config.js',
     find: 'this._table !== undefined && config.version <= this._table.version',
     replace: 'false',
     feature: 'platform/src/test/store.feature',
     scenario: 'an older configuration'
   },
   {
-    promise: 'direct configuration: lost history is read anew',
+    guarantee: 'direct configuration: the state is read again when the store has lost its history',
     file: 'packages/direct/dist/lib/store-mirror.js',
     find: 'this._known = false;\n            return \'heard\';',
     replace: 'return \'heard\';',
@@ -62,7 +62,7 @@
     scenario: 'lost history'
   },
   {
-    promise: 'adapters: what a request was promised stays',
+    guarantee: 'adapters: an adapter reserved for a request stays loaded',
     file: 'packages/decisions/dist/lib/adapter-plan.js',
     find: 'slot.promisedUntil <= now &&',
     replace: '',
@@ -70,40 +70,40 @@
     scenario: 'a slot that a request was promised'
   },
   {
-    promise: 'leaving upstreams: their own word counts',
-    file: 'packages/direct/dist/lib/notice-desk.js',
-    find: 'this._options.leaves(upstream);',
+    guarantee: 'leaving upstreams: their own notice is followed',
+    file: 'packages/direct/dist/lib/notice-coordinator.js',
+    find: 'this._options.leavingAnnounced(upstream);',
     replace: '',
     feature: 'platform/src/test/notices.feature',
     scenario: 'servers that say in their answers that they leave'
   },
   {
-    promise: 'leaving upstreams: all entries are told',
-    file: 'packages/direct/dist/lib/notice-desk.js',
+    guarantee: 'leaving upstreams: all entries are notified',
+    file: 'packages/direct/dist/lib/notice-coordinator.js',
     find: 'if (source === \'its answer\')',
     replace: 'if (false)',
     feature: 'platform/src/test/notices.feature',
     scenario: 'an entry that has not heard it'
   },
   {
-    promise: 'resting upstreams: they get no requests',
+    guarantee: 'upstreams in backoff: they get no requests',
     file: 'packages/direct/dist/lib/placer.js',
-    find: 'upstream.notices.restsUntil <= this._now &&',
+    find: 'upstream.notices.backoffUntil <= this._now &&',
     replace: '',
     feature: 'platform/src/test/notices.feature',
     scenario: 'servers that turn an entry away'
   },
   {
-    promise: 'resting upstreams: they get no orders and no questions',
+    guarantee: 'upstreams in backoff: they get no load orders and no probes',
     file: 'packages/direct/dist/lib/engine-holder.js',
     find: 'if (this._rest > 0) {',
     replace: 'if (false) {',
-    also: { file: 'packages/direct/dist/lib/liveness-probe.js', find: 'if (!this._options.mayAsk())', replace: 'if (false)' },
+    also: { file: 'packages/direct/dist/lib/liveness-probe.js', find: 'if (!this._options.mayProbe())', replace: 'if (false)' },
     feature: 'platform/src/test/notices.feature',
     scenario: 'servers that turn an entry away'
   },
   {
-    promise: 'ended entries: nobody is asked any more',
+    guarantee: 'stopped entries: no peer is pinged any more',
     file: 'packages/direct/dist/lib/peer-suspects.js',
     find: 'if (this._stopped)',
     replace: 'if (false)',
@@ -111,15 +111,15 @@
     scenario: 'an entry that suspected another one ends'
   },
   {
-    promise: 'ended entries: nothing is ordered any more',
-    file: 'packages/direct/dist/lib/engine-desk.js',
+    guarantee: 'stopped entries: no load or unload order is sent any more',
+    file: 'packages/direct/dist/lib/engine-coordinator.js',
     find: 'if (this._stopped)',
     replace: 'if (false)',
     feature: 'platform/src/test/ended-entries.feature',
     scenario: 'an entry that orders engines is killed'
   },
   {
-    promise: 'loads: one whose order had no answer is asked after',
+    guarantee: 'loads: the state of a load whose order got no answer is queried',
     file: 'packages/decisions/dist/lib/adapter-plan.js',
     find: "state: 'unknown', orderedAt: now, readyAt: now",
     replace: "state: 'unknown', orderedAt: 0, readyAt: Infinity",
--- a/packages/bench/src/lib/guards/guard.ts
+++ b/packages/bench/src/lib/guards/guard.ts
@@ -1,8 +1,8 @@
 /**
- * A guard of a promise, as a place in the built code.
+ * A guard: code that upholds a guarantee, located by its text in the built files.
  */
 
-/** A piece of built code and what it becomes without its guard. */
+/** A piece of built code and its replacement without the guard. */
 export interface Edit {
   readonly file: string
   readonly find: string
@@ -11,11 +11,11 @@
 
 /** One guard. */
 export interface Guard extends Edit {
-  /** The promise it holds up. */
-  readonly promise: string
-  /** A second line of defence, taken out with it. */
+  /** The guarantee that the guard upholds. */
+  readonly guarantee: string
+  /** A second guard of the same guarantee, removed together with the first. */
   readonly also?: Edit
-  /** Feature, and words of a scenario's name, that must fail without it. */
+  /** Feature file, and a part of the name of the scenario in it that must fail without the guard. */
   readonly feature: string
   readonly scenario: string
 }
--- a/packages/bench/src/lib/guards/shared-guards.ts
+++ b/packages/bench/src/lib/guards/shared-guards.ts
@@ -1,54 +1,54 @@
 /**
- * Guards of what entries without sidecars do together: limits, budgets, requests held back.
+ * Guards of what entries without sidecars do together: usage limits, retry budgets, quarantine of requests.
  */
 import type { Guard } from './guard.js'
 
-/** Guards of what entries without sidecars do together: limits, budgets, requests held back. */
+/** Guards of what entries without sidecars do together: usage limits, retry budgets, quarantine of requests. */
 export const sharedGuards: readonly Guard[] = [
   {
-    promise: 'requests held back: entries that answered one are asked first',
-    file: 'packages/direct/dist/lib/quarantine-desk.js',
+    guarantee: 'quarantine: entries that have answered a request recently are asked before it is quarantined',
+    file: 'packages/direct/dist/lib/quarantine-coordinator.js',
     find: 'if (answers.flat().includes(request))',
     replace: 'if (false)',
-    also: { file: 'packages/decisions/dist/lib/request-quarantine.js', find: 'if (this.answeredLately(request, now))\n            return false;\n        const isNew', replace: 'const isNew' },
+    also: { file: 'packages/decisions/dist/lib/request-quarantine.js', find: 'if (this.wasAnsweredRecently(request, now))\n            return false;\n        const isNew', replace: 'const isNew' },
     feature: 'platform/src/test/ending-requests.feature',
     scenario: 'a check that all callers send'
   },
   {
-    promise: 'requests held back: a planned end is no crash',
-    file: 'packages/direct/dist/lib/end-detector.js',
+    guarantee: 'quarantine: a planned termination does not count as a crash',
+    file: 'packages/direct/dist/lib/termination-detector.js',
     find: 'if (upstream.record.state === \'draining\')',
     replace: 'if (false)',
-    also: { file: 'packages/direct/dist/lib/end-detector.js', find: 'if (upstream.record.state !== \'draining\')', replace: 'if (true)' },
+    also: { file: 'packages/direct/dist/lib/termination-detector.js', find: 'if (upstream.record.state !== \'draining\')', replace: 'if (true)' },
     feature: 'platform/src/test/ending-requests.feature',
     scenario: 'servers that leave end with what they still run'
   },
   {
-    promise: 'requests held back: they stand in the store',
-    file: 'packages/direct/dist/lib/quarantine-desk.js',
+    guarantee: 'quarantine: quarantined requests are recorded in the store',
+    file: 'packages/direct/dist/lib/quarantine-coordinator.js',
     find: 'await store.commit(',
     replace: 'await (async () => ({ isErr: () => false, value: { kind: "lost" } }))(',
     feature: 'platform/src/test/ending-requests.feature',
     scenario: 'an entry that has seen none of the ends'
   },
   {
-    promise: 'limits of upstreams: each send takes one request of what the upstream takes',
-    file: 'packages/direct/dist/lib/notice-desk.js',
+    guarantee: 'limits of upstreams: each send counts against the upstream\'s request limit',
+    file: 'packages/direct/dist/lib/notice-coordinator.js',
     find: 'return this._limits.admit(upstream.id, 1);',
     replace: 'return { kind: \'admitted\', refund: () => { } };',
     feature: 'platform/src/test/notices.feature',
     scenario: 'upstreams that name a request limit'
   },
   {
-    promise: 'limits of upstreams: their end reaches all entries',
-    file: 'packages/direct/dist/lib/usage-desk.js',
+    guarantee: 'limits of upstreams: the end of a limit reaches all entries',
+    file: 'packages/direct/dist/lib/usage-coordinator.js',
     find: 'this._limits.size > 0 || this._options.clock.now() - this._endedAt < reportAfterEnd',
     replace: 'this._limits.size > 0',
     feature: 'platform/src/test/notices.feature',
     scenario: 'a server names no limit any more, and the entry that counts'
   },
   {
-    promise: 'limits over all entries: entries that were listed lately count',
+    guarantee: 'usage limits: entries that were listed recently are counted',
     file: 'packages/direct/dist/lib/peer-table.js',
     find: 'this._entries.size + this._left.size',
     replace: 'this._entries.size',
@@ -56,7 +56,7 @@
     scenario: 'entries that are gone from each other'
   },
   {
-    promise: 'retry budget: entries that were listed lately count',
+    guarantee: 'retry budget: entries that were listed recently are counted',
     file: 'packages/direct/dist/lib/peer-table.js',
     find: 'this._entries.size + this._left.size',
     replace: 'this._entries.size',
@@ -64,15 +64,15 @@
     scenario: 'entries whose leases have lapsed'
   },
   {
-    promise: 'limits over all entries: who is cut off finds out soon',
-    file: 'packages/direct/dist/lib/usage-desk.js',
+    guarantee: 'usage limits: an entry that is cut off detects it soon',
+    file: 'packages/direct/dist/lib/usage-coordinator.js',
     find: 'asked *= 2',
     replace: 'asked *= 1',
     feature: 'packages/direct/src/test/usage.feature',
     scenario: 'an entry that is cut off from many others'
   },
   {
-    promise: 'long answers between entries are compressed',
+    guarantee: 'long answers between entries are compressed',
     file: 'packages/direct/dist/lib/serve-peers.js',
     find: 'plain.length >= compressFrom',
     replace: 'false',
@@ -80,7 +80,7 @@
     scenario: 'a large configuration over a slow link'
   },
   {
-    promise: 'limits of upstreams: those that failed lately are tried before callers are refused',
+    guarantee: 'limits of upstreams: upstreams that failed recently are tried before callers are refused',
     file: 'packages/direct/dist/lib/placer.js',
     find: 'if (!isLimited || ',
     replace: 'if (true || ',
--- a/packages/bench/src/lib/path-loads.ts
+++ b/packages/bench/src/lib/path-loads.ts
@@ -1,30 +1,30 @@
 /**
- * Loads for the path benchmark: short calls and long streams.
+ * Load generators for the path benchmark: short calls and long streams.
  */
 import { setMaxListeners } from 'node:events'
 import { build as buildHistogram, type Histogram } from 'hdr-histogram-js'
 import { Pool } from 'undici'
 
-/** Where a load goes. */
+/** The endpoint that a load calls. */
 export interface Target {
   readonly url: string
   readonly path: string
 }
 
-/** A closed loop's outcome. */
+/** Result of a closed loop. */
 export interface Throughput {
   readonly perSecond: number
   readonly failed: number
 }
 
-/** Latencies in ms, by percentile. */
+/** Latency percentiles in ms. */
 export interface Latency {
   readonly p50: number
   readonly p99: number
 }
 
 const microsPerMs = 1_000
-/** Streams are opened at 500 a second, nine times a node's share of the peak to design for. */
+/** Streams are opened at 500 a second, nine times one entry's share of the peak that the system is designed for. */
 const opensPerStep = 10
 const openStepMs = 20
 const warmUpMs = 3_000
@@ -38,10 +38,10 @@
 }
 
 /**
- * Calls as fast as answers come.
+ * Runs a closed loop: each caller sends its next call when the last one is answered.
  *
  * @param target - what to call
- * @param callers - calls open at a time
+ * @param callers - number of concurrent calls
  * @param ms - how long
  */
 export async function closedLoop (target: Target, callers: number, ms: number): Promise<Throughput> {
@@ -67,10 +67,10 @@
 }
 
 /**
- * Calls at a fixed rate, whatever the answers take.
+ * Runs an open loop: calls at a fixed rate, however long the answers take.
  *
  * @param target - what to call
- * @param perSecond - rate
+ * @param perSecond - calls a second
  * @param ms - how long
  */
 export async function openLoop (target: Target, perSecond: number, ms: number): Promise<Latency> {
@@ -89,7 +89,7 @@
   return latencyOf(histogram)
 }
 
-/** What open streams brought. */
+/** Events counted on open streams. */
 export interface StreamLoad {
   readonly chunksPerSecond: number
   readonly failed: number
@@ -105,16 +105,16 @@
 }
 
 /**
- * Opens streams and counts their events in a window after all have begun.
+ * Opens streams and counts their events in a window that starts after all of them have begun.
  *
  * @param target - what to call
- * @param model - adapter asked for
- * @param streams - how many
- * @param tokens - events of each
- * @param windowMs - how long to count
- * @param atEdge - called when the window opens and when it closes
+ * @param model - the requested adapter
+ * @param streams - number of streams
+ * @param tokens - number of events in each stream
+ * @param windowMs - length of the window
+ * @param onWindowEdge - called when the window opens and when it closes
  */
-export async function manyStreams (target: Target, model: string, streams: number, tokens: number, windowMs: number, atEdge: () => Promise<void>): Promise<StreamLoad> {
+export async function manyStreams (target: Target, model: string, streams: number, tokens: number, windowMs: number, onWindowEdge: () => Promise<void>): Promise<StreamLoad> {
   const pool = new Pool(target.url, { connections: null, headersTimeout: 60_000, bodyTimeout: 60_000 })
   const abort = new AbortController()
   setMaxListeners(0, abort.signal)
@@ -143,15 +143,15 @@
   }
   const allOpen = (): boolean => begun + failed >= streams
   while (!allOpen()) await pause(openStepMs)
-  // Opening a stream costs far more than carrying it; the window begins once that is over.
+  // Opening a stream costs far more than carrying it, so the window starts after that cost has passed.
   await pause(warmUpMs)
-  await atEdge()
+  await onWindowEdge()
   counting = true
   const from = performance.now()
   await pause(windowMs)
   counting = false
   const chunksPerSecond = events / ((performance.now() - from) / 1_000)
-  await atEdge()
+  await onWindowEdge()
   abort.abort()
   await Promise.all(all)
   await pool.destroy()
--- a/packages/bench/src/lib/policy/bound.ts
+++ b/packages/bench/src/lib/policy/bound.ts
@@ -1,18 +1,18 @@
 /**
- * A lower bound that knows the future, so that the distance to the limit is visible.
+ * Computes a lower bound with knowledge of all future arrivals, to show how far each policy is from the optimum.
  */
 import type { Arrival, Deployment } from './deployment.js'
 import { warmUpMs } from './experiment.js'
 
-/** What no policy can beat. */
+/** Values that no policy can improve on. */
 export interface Bound {
   readonly loads: number
   readonly stalledSeconds: number
-  /** Share of places filled while busy. */
+  /** Share of batch slots filled while busy. */
   readonly batchEfficiency: number
 }
 
-/** Next use of the same adapter after each arrival. */
+/** Index of the next arrival for the same adapter, for each arrival. */
 function nextUses (arrivals: readonly Arrival[]): readonly number[] {
   const next = new Array<number>(arrivals.length).fill(Infinity)
   const seen = new Map<string, number>()
@@ -23,7 +23,7 @@
   return next
 }
 
-/** Misses of Belady's rule with all slots of all engines as one cache. */
+/** Misses of Belady's algorithm with the adapter slots of all engines pooled as one cache. */
 function beladyMisses (arrivals: readonly Arrival[], slots: number): readonly Arrival[] {
   const next = nextUses(arrivals)
   const cache = new Map<string, number>()
@@ -48,17 +48,17 @@
 }
 
 /**
- * Computes the bound.
+ * Computes the lower bound.
  *
- * Every relaxation helps the bound: one pooled cache, requests that hold no slot, a
- * store that is never idle and loads before they are needed. A miss can't be ready
- * before the store has served all misses due before it. The batch bound packs each
- * moment's requests into as few engines as there are places for. A policy that refuses
- * requests spares their loads and can come under the bound on stalls.
+ * Every simplification loosens the bound: one pooled cache, requests that pin no adapter slot,
+ * a weight store that is never idle, and loads before they are needed. A miss can't be ready before
+ * the store has served all misses due before it. The batch bound packs the requests of each moment
+ * into as few engines as have batch slots for them. A policy that refuses requests saves their loads
+ * and can have fewer stalls than the bound.
  *
- * @param arrivals - all of them
+ * @param arrivals - all arrivals of the experiment
  * @param deployment - slots and rates
- * @param storeSlowness - multiplies the time of a load
+ * @param storeSlowness - factor by which loads take longer
  */
 export function lowerBound (arrivals: readonly Arrival[], deployment: Deployment, storeSlowness: number): Bound {
   const misses = beladyMisses(arrivals, deployment.slots * deployment.engines)
@@ -67,7 +67,7 @@
   return { loads: misses.length, stalledSeconds: stalled / 1_000, batchEfficiency: packedEfficiency(arrivals, deployment) }
 }
 
-/** Requests open at once, each for its tokens at the step time of a full batch, packed. */
+/** Batch efficiency when concurrent requests are packed, each taking the step time of a full batch for every token. */
 function packedEfficiency (arrivals: readonly Arrival[], deployment: Deployment): number {
   const { places, stepMs, stepMsPerSequence } = deployment
   const step = stepMs + stepMsPerSequence * (places - 1)
--- a/packages/bench/src/lib/policy/deployment.ts
+++ b/packages/bench/src/lib/policy/deployment.ts
@@ -1,5 +1,5 @@
 /**
- * The two deployments of the brief, and the arrivals they see.
+ * The two simulated deployments and their arrivals.
  */
 import type { TrafficClass } from '@hazelford/core'
 import { Random, zipf } from '../random.js'
@@ -11,29 +11,30 @@
   readonly engines: number
   readonly adapters: number
   readonly slots: number
+  /** Batch slots of an engine. */
   readonly places: number
-  /** Ms of a decode step with one sequence, and what each further one adds. */
+  /** Duration in ms of a decode step with one sequence, and the ms that each further sequence adds. */
   readonly stepMs: number
   readonly stepMsPerSequence: number
-  /** Loads a second, and how many run at full speed at once. */
+  /** Loads that the weight store serves in a second, and loads that run at full speed concurrently. */
   readonly loadsPerSecond: number
   readonly fullSpeed: number
   readonly zipfExponent: number
   readonly meanTokens: number
-  /** Share of drafts; of the rest a fifth are receipts. */
+  /** Share of drafts; a fifth of the other requests are receipts. */
   readonly draftShare: number
-  /** Requests a second that count as full load: what store and engines sustain. */
+  /** Requests a second that count as full load: the most that the store and the engines sustain. */
   readonly capacity: number
   readonly weights: { readonly stall: number, readonly queue: number, readonly batch: number, readonly zonePenalty: number }
   readonly draftLinger: number
 }
 
-/** Vozíkom Spolu: stalls weigh more. */
+/** Vozíkom Spolu: gives stalls more weight. */
 export const vozikom: Deployment = {
   name: 'Vozíkom Spolu', entries: 4, engines: 6, adapters: 3_000, slots: 16, places: 8, stepMs: 28, stepMsPerSequence: 0.7, loadsPerSecond: 4, fullSpeed: 1, zipfExponent: 1.1, meanTokens: 90, draftShare: 0.4, capacity: 11, weights: { stall: 1, queue: 1, batch: 0.1, zonePenalty: 2 }, draftLinger: 0
 }
 
-/** Kalgoorlie Kids Clubs: batch efficiency weighs more, drafts may wait. */
+/** Kalgoorlie Kids Clubs: gives batch efficiency more weight, and drafts may wait. */
 export const kalgoorlie: Deployment = {
   name: 'Kalgoorlie Kids Clubs', entries: 3, engines: 13, adapters: 3_000, slots: 16, places: 8, stepMs: 28, stepMsPerSequence: 0.7, loadsPerSecond: 6, fullSpeed: 2, zipfExponent: 1.1, meanTokens: 90, draftShare: 0.6, capacity: 18, weights: { stall: 1, queue: 1, batch: 1, zonePenalty: 2 }, draftLinger: 250
 }
@@ -48,21 +49,21 @@
   readonly deadline: number
 }
 
-/** What an experiment runs under. */
+/** Load and faults of an experiment. */
 export interface Conditions {
-  /** Share of the capacity. */
+  /** Load as a share of the capacity. */
   readonly load: number
   readonly seconds: number
   readonly seed: number
-  /** Popularity is dealt anew at this second. */
+  /** Second at which the popularity ranks move to other adapters. */
   readonly shiftAt?: number
-  /** An engine loses everything at this second. */
+  /** Second at which an engine restarts without adapters and requests. */
   readonly restartAt?: number
-  /** Multiplies the time of a load. */
+  /** Factor by which loads take longer. */
   readonly storeSlowness?: number
   /** Share of loads that fail. */
   readonly failShare?: number
-  /** Ms between reports to entries. */
+  /** Interval in ms between reports to entries. */
   readonly reportMs?: number
   /** The key-value service is down for the whole run. */
   readonly kvDown?: boolean
@@ -78,9 +79,9 @@
 }
 
 /**
- * Draws arrivals: Poisson in time, Zipf in adapters, exponential in length.
+ * Draws random arrivals: Poisson-distributed in time, Zipf-distributed over adapters, exponentially distributed in length.
  *
- * @param deployment - rates and mix
+ * @param deployment - rates and traffic mix
  * @param conditions - load, length and seed
  */
 export function drawArrivals (deployment: Deployment, conditions: Conditions): readonly Arrival[] {
@@ -92,7 +93,7 @@
   const arrivals: Arrival[] = []
   for (let at = random.exponential(meanGap); at < end; at += random.exponential(meanGap)) {
     const drawn = rank(random)
-    // After the shift the ranks fall on other adapters: a new hot set, the same skew.
+    // After the shift the ranks belong to other adapters: a new hot set with the same skew.
     const adapter = at < shift ? drawn : (drawn + deployment.adapters / 2) % deployment.adapters
     arrivals.push({
       id: `r${arrivals.length}`,
--- a/packages/bench/src/lib/policy/event-queue.ts
+++ b/packages/bench/src/lib/policy/event-queue.ts
@@ -1,21 +1,21 @@
 /**
- * A clock that jumps from event to event, for experiments with the pure decisions.
+ * An event queue with a simulated clock, for experiments with the pure decisions.
  */
 
-interface Scheduled { readonly at: number, readonly order: number, readonly run: () => void }
+interface Scheduled { readonly at: number, readonly sequenceNumber: number, readonly run: () => void }
 
-/** Binary heap of events by time, then by order of scheduling. */
+/** Binary heap of events, by time and then by sequence of scheduling. */
 export class EventQueue {
   private readonly _heap: Scheduled[] = []
-  private _order = 0
+  private _nextSequenceNumber = 0
   private _now = 0
 
-  /** Time in ms. */
+  /** Simulated time in ms. */
   get now (): number { return this._now }
 
-  /** Runs something later. */
+  /** Schedules a function after a delay in ms. */
   after (delay: number, run: () => void): void {
-    this._push({ at: this._now + Math.max(0, delay), order: this._order++, run })
+    this._push({ at: this._now + Math.max(0, delay), sequenceNumber: this._nextSequenceNumber++, run })
   }
 
   /** Runs all events up to a time. */
@@ -29,7 +29,7 @@
   }
 
   private _before (a: Scheduled, b: Scheduled): boolean {
-    return a.at < b.at || (a.at === b.at && a.order < b.order)
+    return a.at < b.at || (a.at === b.at && a.sequenceNumber < b.sequenceNumber)
   }
 
   private _push (item: Scheduled): void {
--- a/packages/bench/src/lib/policy/experiment.ts
+++ b/packages/bench/src/lib/policy/experiment.ts
@@ -1,5 +1,5 @@
 /**
- * Runs one policy on one list of arrivals and measures it.
+ * Runs one policy on one list of arrivals and measures the results.
  */
 import type { TrafficClass } from '@hazelford/core'
 import { Random } from '../random.js'
@@ -11,12 +11,12 @@
 /** Order statistics in ms. */
 export interface Stats { readonly mean: number, readonly p50: number, readonly p95: number, readonly p99: number }
 
-/** What an experiment measured. */
+/** Measured results of an experiment. */
 export interface Outcome {
   readonly stalledSeconds: number
   readonly stall: Stats
   readonly firstToken: Readonly<Record<TrafficClass, Stats>>
-  /** Stalled seconds in each 10 s of the run. */
+  /** Stalled seconds of the requests that arrive in each 10 s of the run. */
   readonly stallSeries: readonly number[]
   readonly batchEfficiency: number
   readonly tokensPerBusySecond: number
@@ -26,11 +26,11 @@
   readonly refusedByClass: Readonly<Record<TrafficClass, number>>
   readonly retried: number
   readonly loads: number
-  /** Loads of an adapter evicted less than 10 s before. */
+  /** Loads of an adapter that was evicted less than 10 s before. */
   readonly reloads: number
 }
 
-/** Requests that arrive before this are not counted: every engine starts empty. */
+/** Requests that arrive before this time are not counted, because every engine starts empty. */
 export const warmUpMs = 60_000
 const tailMs = 40_000
 const reloadWithinMs = 10_000
@@ -47,7 +47,7 @@
   return { receipt: make('receipt'), booking: make('booking'), interactive: make('interactive'), draft: make('draft') }
 }
 
-/** Notes what happens to each request. */
+/** Records what happens to each request. */
 class Recorder {
   private readonly _arrivals: ReadonlyMap<string, Arrival>
   private readonly _ready = new Map<string, number>()
@@ -74,15 +74,15 @@
     if (this._queue.now - (this._evictedAt.get(adapter) ?? -Infinity) < reloadWithinMs) this.reloads++
   }
 
-  /** A request that never became ready stalled until it was given up. */
+  /** Computes the results; a request whose adapter never became ready counts as stalled until its deadline. */
   outcome (fill: { readonly filledMs: number, readonly busyMs: number, readonly tokens: number }, places: number): Outcome {
     const stallOf = (arrival: Arrival): number => (this._ready.get(arrival.id) ?? arrival.deadline) - arrival.at
     const counted = this._list.filter(arrival => arrival.at >= warmUpMs)
     const stalls = counted.map(stallOf)
     const series: number[] = []
     for (const arrival of this._list) {
-      const slot = Math.floor(arrival.at / seriesMs)
-      series[slot] = (series[slot] ?? 0) + stallOf(arrival) / 1_000
+      const step = Math.floor(arrival.at / seriesMs)
+      series[step] = (series[step] ?? 0) + stallOf(arrival) / 1_000
     }
     return {
       stalledSeconds: stalls.reduce((sum, stall) => sum + stall, 0) / 1_000,
@@ -107,8 +107,8 @@
 /**
  * Runs an experiment.
  *
- * @param create - the policy
- * @param deployment - sizes
+ * @param create - creates the policy
+ * @param deployment - sizes and rates
  * @param conditions - faults, load and seed
  * @param arrivals - the same list for every policy
  */
--- a/packages/bench/src/lib/policy/hazelford-policy.ts
+++ b/packages/bench/src/lib/policy/hazelford-policy.ts
@@ -1,10 +1,10 @@
 /**
- * hazelford's own decisions in an experiment: the same `chooseUpstream` and
- * `UpstreamPlan` that the daemons run.
+ * hazelford's own policy in an experiment, with the same `chooseUpstream` and `UpstreamPlan` that
+ * the daemons run.
  */
 import { chooseUpstream, LoadThrottle, type PlanEffect, type PlanMessage, RetryBudget, UpstreamPlan, UpstreamView } from '@hazelford/decisions'
 import type { Arrival } from './deployment.js'
-import type { CreatePolicy, PolicyWorld } from './policy.js'
+import type { CreatePolicy, PolicyContext } from './policy.js'
 import { SimBatch } from './sim-batch.js'
 import { addFills } from './simple-policies.js'
 
@@ -16,45 +16,45 @@
 const queueLimit = 256
 const minGapMs = 20
 
-/** Permits of the weight store, as the key-value record hands them out. */
+/** Simulates the load permits of the weight store, which a record in the key-value service grants. */
 class SimPermits {
   private _free: number
-  private _waiting: { readonly engine: number, rank: number, readonly take: () => void }[] = []
-  private readonly _shareTaken = new Set<number>()
-  private readonly _pacers = new Map<number, LoadThrottle>()
+  private _waiting: { readonly engine: number, rank: number, readonly onGrant: () => void }[] = []
+  private readonly _waitingForShare = new Set<number>()
+  private readonly _throttles = new Map<number, LoadThrottle>()
 
-  constructor (private readonly _world: PolicyWorld) { this._free = _world.deployment.fullSpeed }
+  constructor (private readonly _context: PolicyContext) { this._free = _context.deployment.fullSpeed }
 
-  acquire (engine: number, rank: number, take: () => void): void {
-    const { queue, conditions, deployment } = this._world
+  acquire (engine: number, rank: number, onGrant: () => void): void {
+    const { queue, conditions, deployment } = this._context
     if (conditions.kvDown === true) {
-      if (this._shareTaken.has(engine)) return
-      this._shareTaken.add(engine)
-      const pacer = this._pacer(engine, 1_000 * deployment.engines / deployment.loadsPerSecond)
-      queue.after(pacer.delay(queue.now), () => {
-        pacer.started(queue.now)
-        this._shareTaken.delete(engine)
-        take()
+      if (this._waitingForShare.has(engine)) return
+      this._waitingForShare.add(engine)
+      const throttle = this._throttle(engine, 1_000 * deployment.engines / deployment.loadsPerSecond)
+      queue.after(throttle.delay(queue.now), () => {
+        throttle.started(queue.now)
+        this._waitingForShare.delete(engine)
+        onGrant()
       })
       return
     }
-    const wanted = this._waiting.find(other => other.engine === engine)
-    if (wanted === undefined) this._waiting.push({ engine, rank, take })
-    else wanted.rank = rank
+    const pending = this._waiting.find(other => other.engine === engine)
+    if (pending === undefined) this._waiting.push({ engine, rank, onGrant })
+    else pending.rank = rank
     this._waiting.sort((a, b) => a.rank - b.rank)
     this._grant()
   }
 
   giveBack (engine: number, took?: number, loaded = true): void {
-    if (took !== undefined) this._pacers.get(engine)?.ended(took, loaded)
-    if (this._world.conditions.kvDown === true) return
+    if (took !== undefined) this._throttles.get(engine)?.ended(took, loaded)
+    if (this._context.conditions.kvDown === true) return
     this._free++
     this._grant()
   }
 
-  private _pacer (engine: number, share: number): LoadThrottle {
-    const known = this._pacers.get(engine) ?? new LoadThrottle(share)
-    this._pacers.set(engine, known)
+  private _throttle (engine: number, share: number): LoadThrottle {
+    const known = this._throttles.get(engine) ?? new LoadThrottle(share)
+    this._throttles.set(engine, known)
     return known
   }
 
@@ -62,12 +62,12 @@
     const next = this._free > 0 ? this._waiting.shift() : undefined
     if (next === undefined) return
     this._free--
-    this._world.queue.after(permitMs, next.take)
+    this._context.queue.after(permitMs, next.onGrant)
   }
 }
 
-/** A sidecar and its engine. */
-class PlannedEngine {
+/** Simulates a sidecar and its engine. */
+class SidecarEngine {
   readonly batch: SimBatch
   private readonly _plan: UpstreamPlan
   private readonly _arrivals = new Map<string, Arrival>()
@@ -76,14 +76,14 @@
   private _reportDue = false
 
   constructor (
-    private readonly _world: PolicyWorld,
+    private readonly _context: PolicyContext,
     private readonly _index: number,
     private readonly _permits: SimPermits,
     private readonly _refused: (arrival: Arrival, code: string) => void,
     private readonly _lost: (arrival: Arrival) => void,
     private readonly _reportSoon: () => void
   ) {
-    const { deployment, queue, events, random } = _world
+    const { deployment, queue, events, random } = _context
     this._plan = new UpstreamPlan({ slots: deployment.slots, places: deployment.places, queueLimit, draftLinger: deployment.draftLinger }, () => random.unit())
     this.batch = new SimBatch(queue, deployment.stepMs, deployment.stepMsPerSequence, {
       firstToken: id => events.firstToken(id),
@@ -98,15 +98,15 @@
   report (): ReturnType<UpstreamPlan['report']> { return this._plan.report() }
 
   arrive (arrival: Arrival): void {
-    const { queue } = this._world
+    const { queue } = this._context
     this._arrivals.set(arrival.id, arrival)
     const { id, adapter, trafficClass } = arrival
-    if (this._loaded.has(adapter)) this._world.events.ready(id)
+    if (this._loaded.has(adapter)) this._context.events.ready(id)
     this._post({ kind: 'arrive', at: queue.now, request: { id, adapter, trafficClass, arrivedAt: queue.now, deadlineAt: arrival.deadline } })
   }
 
   restart (): void {
-    const { queue } = this._world
+    const { queue } = this._context
     this._epoch++
     this._loaded.clear()
     for (const id of this.batch.clear()) {
@@ -122,11 +122,11 @@
   }
 
   private _perform (effect: PlanEffect): void {
-    const { queue } = this._world
+    const { queue } = this._context
     switch (effect.kind) {
       case 'start': {
         const arrival = this._arrivals.get(effect.id)!
-        this._world.events.ready(effect.id)
+        this._context.events.ready(effect.id)
         this.batch.start(effect.id, arrival.tokens)
         return
       }
@@ -143,7 +143,7 @@
       case 'load': return this._load(effect.adapter)
       case 'unload':
         this._loaded.delete(effect.adapter)
-        this._world.events.evicted(effect.adapter)
+        this._context.events.evicted(effect.adapter)
         queue.after(linkMs, () => this._post({ kind: 'unload-ended', at: queue.now, adapter: effect.adapter, outcome: 'unloaded' }))
         return
       case 'list-slots':
@@ -155,7 +155,7 @@
   }
 
   private _load (adapter: string): void {
-    const { queue, store, random, conditions, events } = this._world
+    const { queue, store, random, conditions, events } = this._context
     const from = queue.now
     const epoch = this._epoch
     store.load(() => {
@@ -177,10 +177,10 @@
   }
 }
 
-/** hazelford as it is. */
-export const createHazelford: CreatePolicy = world => {
-  const { deployment, conditions, queue, random, events } = world
-  const permits = new SimPermits(world)
+/** Creates hazelford's policy. */
+export const createHazelfordPolicy: CreatePolicy = context => {
+  const { deployment, conditions, queue, random, events } = context
+  const permits = new SimPermits(context)
   const budget = new RetryBudget(retryShare)
   const tried = new Map<string, Set<string>>()
   const names = Array.from({ length: deployment.engines }, (_, i) => `e${i}`)
@@ -199,7 +199,7 @@
     events.retried()
     queue.after(linkMs, () => send(arrival))
   }
-  const engines = names.map((_, i) => new PlannedEngine(world, i, permits, retry, arrival => retry(arrival, 'upstream-lost'), () => reportTo(i)))
+  const engines = names.map((_, i) => new SidecarEngine(context, i, permits, retry, arrival => retry(arrival, 'upstream-lost'), () => reportTo(i)))
   const send = (arrival: Arrival): void => {
     const entry = Number(arrival.id.slice(1)) % deployment.entries
     const seen = tried.get(arrival.id) ?? new Set<string>()
@@ -210,12 +210,12 @@
     view.sent(arrival.adapter)
     queue.after(linkMs, () => engines[names.indexOf(view.name)]!.arrive(arrival))
   }
-  const everyReport = (): void => {
+  const reportPeriodically = (): void => {
     engines.forEach((_, i) => reportTo(i))
-    queue.after(conditions.reportMs ?? defaultReportMs, everyReport)
+    queue.after(conditions.reportMs ?? defaultReportMs, reportPeriodically)
   }
   for (const entry of views) for (const view of entry) view.update('serving', engines[0]!.report(), -60_000)
-  everyReport()
+  reportPeriodically()
   return {
     arrive: arrival => {
       budget.firstAttempt()
--- a/packages/bench/src/lib/policy/policy-page.ts
+++ b/packages/bench/src/lib/policy/policy-page.ts
@@ -1,5 +1,5 @@
 /**
- * Plots of the policy benchmark as one self-contained page.
+ * Renders the plots of the policy benchmark as one self-contained page.
  */
 import type { PolicyRow } from './policy-row.js'
 
@@ -23,9 +23,9 @@
 }
 
 /**
- * Writes the page.
+ * Renders the page.
  *
- * @param rows - all conditions
+ * @param rows - results of all conditions
  */
 export function policyPage (rows: readonly PolicyRow[]): string {
   return `<!doctype html><html lang="en"><meta charset="utf-8"><title>hazelford policy benchmark</title>
--- a/packages/bench/src/lib/policy/policy-row.ts
+++ b/packages/bench/src/lib/policy/policy-row.ts
@@ -4,7 +4,7 @@
 import type { Bound } from './bound.js'
 import type { Outcome } from './experiment.js'
 
-/** One condition with what every policy made of it. */
+/** The results of every policy under one condition. */
 export interface PolicyRow {
   readonly deployment: string
   readonly condition: string
--- a/packages/bench/src/lib/policy/policy.ts
+++ b/packages/bench/src/lib/policy/policy.ts
@@ -1,14 +1,14 @@
 /**
- * What the compared policies have in common: an engine side and a routing side.
+ * The interface of the compared policies and of the experiment that runs them.
  */
 import type { Arrival, Conditions, Deployment } from './deployment.js'
 import type { EventQueue } from './event-queue.js'
 import type { Random } from '../random.js'
 import type { SimStore } from './sim-store.js'
 
-/** What a policy tells the experiment. */
+/** Events that a policy reports to the experiment. */
 export interface PolicyEvents {
-  /** The request's adapter is ready, whether it had to wait or not. */
+  /** The request's adapter is loaded, whether the request had to wait for it or not. */
   readonly ready: (id: string) => void
   readonly firstToken: (id: string) => void
   readonly finished: (id: string) => void
@@ -18,8 +18,8 @@
   readonly evicted: (adapter: string) => void
 }
 
-/** What a policy runs in. */
-export interface PolicyWorld {
+/** The simulated environment of a policy. */
+export interface PolicyContext {
   readonly deployment: Deployment
   readonly conditions: Conditions
   readonly queue: EventQueue
@@ -28,16 +28,16 @@
   readonly events: PolicyEvents
 }
 
-/** Places filled, busy time and tokens over all engines. */
+/** Time of filled batch slots, busy time and tokens over all engines. */
 export interface FillTotals { readonly filledMs: number, readonly busyMs: number, readonly tokens: number }
 
-/** One of the compared systems. */
+/** One of the compared policies with its engines. */
 export interface Policy {
   readonly arrive: (arrival: Arrival) => void
-  /** Engine 0 restarts cold. */
+  /** Restarts engine 0 without adapters. */
   readonly restartEngine: () => void
   readonly fill: () => FillTotals
 }
 
-/** Builds a policy in a world. */
-export type CreatePolicy = (world: PolicyWorld) => Policy
+/** Creates a policy in an environment. */
+export type CreatePolicy = (world: PolicyContext) => Policy
--- a/packages/bench/src/lib/policy/sim-batch.ts
+++ b/packages/bench/src/lib/policy/sim-batch.ts
@@ -1,21 +1,21 @@
 /**
- * Continuous batching of an experiment's engine.
+ * Simulates the continuous batching of an engine.
  */
 import type { EventQueue } from './event-queue.js'
 
 interface Sequence { readonly id: string, left: number, first: boolean }
 
-/** Hears of a sequence's progress. */
+/** Callbacks for a sequence's progress. */
 export interface BatchEvents {
   readonly firstToken: (id: string) => void
   readonly finished: (id: string) => void
 }
 
-/** One batch with its places. */
+/** The batch of one simulated engine. */
 export class SimBatch {
   private _running: Sequence[] = []
   private _stepping = false
-  /** Sum over steps of filled places times their ms, busy ms, and tokens. */
+  /** Totals over all steps: filled batch slots times the step's ms, busy ms, and tokens. */
   readonly fill = { filledMs: 0, busyMs: 0, tokens: 0 }
 
   constructor (
@@ -32,7 +32,7 @@
     this._step()
   }
 
-  /** The engine restarts; whoever ran is told by the caller. */
+  /** Empties the batch for a restart and returns the ids of its requests, for the caller to retry. */
   clear (): readonly string[] {
     const ids = this._running.map(sequence => sequence.id)
     this._running = []
@@ -49,12 +49,12 @@
       this.fill.busyMs += took
       this.fill.filledMs += took * count
       this.fill.tokens += count
-      for (const sequence of [...this._running]) this._token(sequence)
+      for (const sequence of [...this._running]) this._emitToken(sequence)
       this._step()
     })
   }
 
-  private _token (sequence: Sequence): void {
+  private _emitToken (sequence: Sequence): void {
     if (sequence.first) this._events.firstToken(sequence.id)
     sequence.first = false
     sequence.left--
--- a/packages/bench/src/lib/policy/sim-store.ts
+++ b/packages/bench/src/lib/policy/sim-store.ts
@@ -1,22 +1,22 @@
 /**
- * The weight store of an experiment: loads share its speed.
+ * Simulates the weight store, whose loads share its speed.
  */
 import type { EventQueue } from './event-queue.js'
 
 interface Transfer { left: number, readonly done: () => void }
 
-/** Processor sharing above the number that runs at full speed. */
+/** Shares the store's speed equally once more loads are active than run at full speed. */
 export class SimStore {
   private _active: Transfer[] = []
   private _last = 0
   private _generation = 0
-  /** Loads ended. */
+  /** Number of finished loads. */
   served = 0
 
   /**
-   * @param _queue - the clock
-   * @param _fullSpeed - loads that run at full speed together
-   * @param _loadMs - of a load at full speed
+   * @param _queue - simulated clock
+   * @param _fullSpeed - number of concurrent loads that run at full speed
+   * @param _loadMs - duration of a load at full speed
    */
   constructor (private readonly _queue: EventQueue, private readonly _fullSpeed: number, private readonly _loadMs: number) {}
 
--- a/packages/bench/src/lib/policy/simple-policies.ts
+++ b/packages/bench/src/lib/policy/simple-policies.ts
@@ -1,14 +1,14 @@
 /**
- * What users would build: the naive version, and rendezvous on the adapter.
+ * Simple policies that users would otherwise build, for comparison: round robin, and rendezvous hashing of the adapter.
  */
 import { rendezvousOrder } from '@hazelford/decisions'
 import type { Arrival } from './deployment.js'
-import type { CreatePolicy, FillTotals, PolicyWorld } from './policy.js'
+import type { CreatePolicy, FillTotals, PolicyContext } from './policy.js'
 import { SimBatch } from './sim-batch.js'
 
 const maxRetries = 3
 
-/** An engine with LRU eviction that loads on demand and asks nobody. */
+/** Simulates an engine that loads on demand without permits and evicts the least recently used adapter. */
 class SimpleEngine {
   private readonly _slots = new Map<string, { state: 'loading' | 'loaded', pins: number, used: number }>()
   private _waiting: Arrival[] = []
@@ -16,8 +16,8 @@
   private readonly _running = new Map<string, Arrival>()
   private _uses = 0
 
-  constructor (private readonly _world: PolicyWorld, private readonly _retry: (arrival: Arrival) => void) {
-    const { deployment, queue, events } = _world
+  constructor (private readonly _context: PolicyContext, private readonly _retry: (arrival: Arrival) => void) {
+    const { deployment, queue, events } = _context
     this.batch = new SimBatch(queue, deployment.stepMs, deployment.stepMsPerSequence, {
       firstToken: id => events.firstToken(id),
       finished: id => this._finished(id)
@@ -26,7 +26,7 @@
 
   arrive (arrival: Arrival): void {
     this._waiting.push(arrival)
-    this._go()
+    this._schedule()
   }
 
   restart (): void {
@@ -34,7 +34,7 @@
     const lost = this.batch.clear().map(id => this._running.get(id)!)
     this._running.clear()
     for (const arrival of lost) this._retry(arrival)
-    this._go()
+    this._schedule()
   }
 
   private _finished (id: string): void {
@@ -42,13 +42,13 @@
     this._running.delete(id)
     const slot = this._slots.get(arrival.adapter)
     if (slot !== undefined) slot.pins--
-    this._world.events.finished(id)
-    this._go()
+    this._context.events.finished(id)
+    this._schedule()
   }
 
-  private _go (): void {
-    const { queue, events, deployment } = this._world
-    const still: Arrival[] = []
+  private _schedule (): void {
+    const { queue, events, deployment } = this._context
+    const stillWaiting: Arrival[] = []
     for (const arrival of this._waiting) {
       const slot = this._slots.get(arrival.adapter)
       if (arrival.deadline <= queue.now) events.refused(arrival.id)
@@ -56,22 +56,22 @@
       else {
         if (slot === undefined) this._load(arrival)
         else if (slot.state === 'loaded') events.ready(arrival.id)
-        still.push(arrival)
+        stillWaiting.push(arrival)
       }
     }
-    this._waiting = still
+    this._waiting = stillWaiting
   }
 
   private _start (arrival: Arrival, slot: { pins: number, used: number }): void {
     slot.pins++
     slot.used = ++this._uses
     this._running.set(arrival.id, arrival)
-    this._world.events.ready(arrival.id)
+    this._context.events.ready(arrival.id)
     this.batch.start(arrival.id, arrival.tokens)
   }
 
   private _load (arrival: Arrival): void {
-    const { deployment, store, random, conditions, events } = this._world
+    const { deployment, store, random, conditions, events } = this._context
     if (this._slots.size >= deployment.slots && !this._evict()) return
     const slot = { state: 'loading' as 'loading' | 'loaded', pins: 0, used: ++this._uses }
     this._slots.set(arrival.adapter, slot)
@@ -86,7 +86,7 @@
         slot.state = 'loaded'
         events.loaded(arrival.adapter)
       }
-      this._go()
+      this._schedule()
     })
   }
 
@@ -100,40 +100,40 @@
     }
     if (oldest === undefined) return false
     this._slots.delete(oldest)
-    this._world.events.evicted(oldest)
+    this._context.events.evicted(oldest)
     return true
   }
 }
 
-function createSimple (world: PolicyWorld, route: (arrival: Arrival, attempt: number) => number): ReturnType<CreatePolicy> {
+function createSimple (context: PolicyContext, route: (arrival: Arrival, attempt: number) => number): ReturnType<CreatePolicy> {
   const attempts = new Map<string, number>()
   const send = (arrival: Arrival): void => engines[route(arrival, attempts.get(arrival.id) ?? 0)]!.arrive(arrival)
   const retry = (arrival: Arrival): void => {
     const attempt = (attempts.get(arrival.id) ?? 0) + 1
     attempts.set(arrival.id, attempt)
-    if (attempt > maxRetries) return world.events.refused(arrival.id)
-    world.events.retried()
+    if (attempt > maxRetries) return context.events.refused(arrival.id)
+    context.events.retried()
     send(arrival)
   }
-  const engines = Array.from({ length: world.deployment.engines }, () => new SimpleEngine(world, retry))
+  const engines = Array.from({ length: context.deployment.engines }, () => new SimpleEngine(context, retry))
   return { arrive: send, restartEngine: () => engines[0]!.restart(), fill: () => addFills(engines.map(engine => engine.batch.fill)) }
 }
 
-/** Adds up the batches of all engines. */
+/** Sums the batch totals of all engines. */
 export function addFills (fills: readonly FillTotals[]): FillTotals {
   return fills.reduce((sum, fill) => ({
     filledMs: sum.filledMs + fill.filledMs, busyMs: sum.busyMs + fill.busyMs, tokens: sum.tokens + fill.tokens
   }))
 }
 
-/** Round robin, LRU, load on demand, retry at once. */
-export const createNaive: CreatePolicy = world => {
+/** Creates a policy with round robin, LRU eviction, load on demand and immediate retries. */
+export const createNaivePolicy: CreatePolicy = context => {
   let next = 0
-  return createSimple(world, () => next++ % world.deployment.engines)
+  return createSimple(context, () => next++ % context.deployment.engines)
 }
 
-/** Rendezvous on the adapter, LRU. */
-export const createHash: CreatePolicy = world => {
-  const names = Array.from({ length: world.deployment.engines }, (_, i) => `e${i}`)
-  return createSimple(world, (arrival, attempt) => names.indexOf(rendezvousOrder(arrival.adapter, names)[attempt % names.length]!))
+/** Creates a policy with rendezvous hashing of the adapter and LRU eviction. */
+export const createRendezvousPolicy: CreatePolicy = context => {
+  const names = Array.from({ length: context.deployment.engines }, (_, i) => `e${i}`)
+  return createSimple(context, (arrival, attempt) => names.indexOf(rendezvousOrder(arrival.adapter, names)[attempt % names.length]!))
 }
--- a/packages/bench/src/lib/process-usage.ts
+++ b/packages/bench/src/lib/process-usage.ts
@@ -1,5 +1,5 @@
 /**
- * Processor time of another process, as Linux counts it.
+ * Reads the processor time of another process from Linux's /proc.
  */
 import { readFileSync } from 'node:fs'
 
@@ -9,14 +9,14 @@
 const systemTicksField = 12
 
 /**
- * Processor time used so far.
+ * Returns the processor time that a process has used so far.
  *
- * @param pid - a process of this machine
+ * @param pid - a process on this host
  * @returns ms in user and system mode
  */
 export function cpuMs (pid: number): number {
   const stat = readFileSync(`/proc/${pid}/stat`, 'utf8')
-  // The name in parentheses may hold blanks; fields are counted from behind it.
+  // The process name in parentheses may contain blanks, so fields are counted from the closing parenthesis.
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ')
   const ticks = Number(fields[userTicksField]) + Number(fields[systemTicksField])
   return ticks * 1_000 / ticksPerSecond
--- a/packages/bench/src/lib/random.ts
+++ b/packages/bench/src/lib/random.ts
@@ -1,9 +1,9 @@
 /**
- * Seeded random numbers for loads and experiments.
+ * Seeded random numbers for load generators and experiments.
  */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 
-/** Draws from one seed. */
+/** A random number generator; the same seed gives the same sequence. */
 export class Random {
   private readonly _generator: { next: () => number }
 
@@ -20,23 +20,23 @@
 }
 
 /**
- * Draws ranks by Zipf's law.
+ * Creates a function that draws ranks by Zipf's law.
  *
- * @param count - ranks
- * @param exponent - 1 is the classic law; larger is more skewed
- * @returns draws a rank, 0 the most popular
+ * @param count - number of ranks
+ * @param exponent - 1 is the classic law; a larger exponent is more skewed
+ * @returns a function that draws a rank; 0 is the most popular
  */
 export function zipf (count: number, exponent: number): (random: Random) => number {
   const sums: number[] = []
   let total = 0
   for (let rank = 1; rank <= count; rank++) sums.push(total += rank ** -exponent)
   return random => {
-    const wanted = random.unit() * total
+    const drawn = random.unit() * total
     let low = 0
     let high = count - 1
     while (low < high) {
       const middle = (low + high) >> 1
-      if (sums[middle]! < wanted) low = middle + 1
+      if (sums[middle]! < drawn) low = middle + 1
       else high = middle
     }
     return low
--- a/packages/bench/src/lib/run-soak.ts
+++ b/packages/bench/src/lib/run-soak.ts
@@ -1,14 +1,14 @@
 /**
- * A soak: real processes under load while faults come and go.
+ * Runs a soak: real processes under load, with faults that begin and end at random.
  */
 import { adapterName } from './config-text.js'
 import { book, type CallerResult, closeCallers, complete } from './callers.js'
 import { Fleet, readStatus } from './fleet.js'
 import { Random, zipf } from './random.js'
-import { type BookingStory, findViolations } from './soak-checks.js'
+import { type BookingAttempts, findViolations } from './soak-checks.js'
 import { soakFaults, type SoakState } from './soak-faults.js'
 
-/** How a soak ended. */
+/** Result of a soak. */
 export interface SoakResult {
   readonly requests: number
   readonly faults: number
@@ -25,7 +25,7 @@
 const faultGapMs = 500
 const faultLengthMs = 1_500
 const maxRepeats = 6
-const calmMs = 1_500
+const faultFreeTailMs = 1_500
 const settleLimitMs = 15_000
 const pollMs = 250
 const shownViolations = 20
@@ -35,15 +35,15 @@
 
 class Soak {
   private readonly _completions: Promise<CallerResult>[] = []
-  private readonly _bookings: Promise<BookingStory>[] = []
+  private readonly _bookings: Promise<BookingAttempts>[] = []
   private readonly _state: SoakState = { entryKills: [], drained: [], busy: new Set() }
   private readonly _revisions = new Map<string, number>()
   private readonly _revisionDrops: string[] = []
   private _faults = 0
-  private _over = false
+  private _isOver = false
   private readonly _startedAt = performance.now()
 
-  constructor (private readonly _fleet: Fleet, private readonly _random: Random, private readonly _faultRandom: Random, private readonly _say: (line: string) => void, private readonly _traced: boolean) {}
+  constructor (private readonly _fleet: Fleet, private readonly _random: Random, private readonly _faultRandom: Random, private readonly _print: (line: string) => void, private readonly _traced: boolean) {}
 
   async run (seconds: number): Promise<SoakResult> {
     const end = performance.now() + seconds * 1_000
@@ -52,7 +52,7 @@
     await this._sendLoad(end)
     await faulting
     const problems = await this._settle()
-    this._over = true
+    this._isOver = true
     await watching
     return this._judge(problems)
   }
@@ -61,15 +61,15 @@
     const rank = zipf(adapterCount, 1)
     for (let i = 0; performance.now() < end; i++) {
       const headers = { 'x-hazelford-deadline-ms': String(deadlineMs) }
-      if (i % 3 === 2) this._bookings.push(this._bookStory(`booking-${i}`, i, headers))
+      if (i % 3 === 2) this._bookings.push(this._bookUntilKnown(`booking-${i}`, i, headers))
       else this._completions.push(this._traceFailure(complete(this._url(i), adapterName(rank(this._random)), `prompt-${i}`, tokens, i % 2 === 0, headers)))
       await pause(this._random.exponential(meanGapMs))
     }
   }
 
-  /** One line of the soak's own time line, when asked for. */
+  /** Prints a line with the time since the start, if tracing is on. */
   private _trace (line: string): void {
-    if (this._traced) this._say(`${Math.round(performance.now() - this._startedAt)} ms ${line}`)
+    if (this._traced) this._print(`${Math.round(performance.now() - this._startedAt)} ms ${line}`)
   }
 
   private _url (i: number): string { return this._fleet.liveEntryUrl(i) }
@@ -80,10 +80,10 @@
     return result
   }
 
-  /** A caller that repeats by key until it knows, or books once without a key. */
-  private async _bookStory (token: string, i: number, headers: Record<string, string>): Promise<BookingStory> {
-    const keyed = i % 2 === 0
-    if (!keyed) return { token, attempts: [await book(this._url(i), token, headers)] }
+  /** Makes a booking: a caller with a key repeats it until it is confirmed or the repeats are used up, one without a key sends it once. */
+  private async _bookUntilKnown (token: string, i: number, headers: Record<string, string>): Promise<BookingAttempts> {
+    const hasKey = i % 2 === 0
+    if (!hasKey) return { token, attempts: [await book(this._url(i), token, headers)] }
     const attempts: CallerResult[] = []
     for (let repeat = 0; repeat < maxRepeats; repeat++) {
       const result = await book(this._url(i + repeat), token, { ...headers, 'idempotency-key': token })
@@ -95,24 +95,24 @@
   }
 
   private async _injectFaults (end: number): Promise<void> {
-    const ending: Promise<void>[] = []
-    while (performance.now() < end - calmMs) {
+    const ends: Promise<void>[] = []
+    while (performance.now() < end - faultFreeTailMs) {
       const fault = soakFaults[this._faultRandom.below(soakFaults.length)]!
       this._faults++
       const stop = fault.begin(this._fleet, this._faultRandom, this._state)
       this._trace(`begin ${fault.name}`)
-      ending.push(stop.then(async finish => {
+      ends.push(stop.then(async finish => {
         await pause(this._faultRandom.unit() * faultLengthMs)
         await finish()
         this._trace(`end   ${fault.name}`)
       }))
       await pause(this._faultRandom.exponential(faultGapMs))
     }
-    await Promise.all(ending)
+    await Promise.all(ends)
   }
 
   private async _watchRevisions (): Promise<void> {
-    while (!this._over) {
+    while (!this._isOver) {
       await Promise.all([...this._fleet.entries, ...this._fleet.sidecars.values()].map(async daemon => {
         const { revision } = await readStatus(daemon).catch(() => ({ revision: undefined }))
         if (revision === undefined) return
@@ -125,7 +125,7 @@
     }
   }
 
-  /** After the faults every process must come to the newest revision and serve. */
+  /** Checks that every process reaches the newest revision after the faults. */
   private async _settle (): Promise<readonly string[]> {
     const revision = await this._fleet.applyConfig([])
     const end = performance.now() + settleLimitMs
@@ -140,14 +140,14 @@
     return []
   }
 
-  private _sayCodes (all: readonly CallerResult[]): void {
+  private _printErrorCodes (all: readonly CallerResult[]): void {
     const counts = new Map<string, number>()
     for (const { kind, status, code } of all) {
       if (status === 200 || status === 201) continue
       const key = `${kind} ${status} ${code}`
       counts.set(key, (counts.get(key) ?? 0) + 1)
     }
-    for (const [key, count] of [...counts].sort((a, b) => b[1] - a[1])) this._say(`  ${count} x ${key}`)
+    for (const [key, count] of [...counts].sort((a, b) => b[1] - a[1])) this._print(`  ${count} x ${key}`)
   }
 
   private async _judge (problems: readonly string[]): Promise<SoakResult> {
@@ -157,8 +157,8 @@
     const record = { completions, bookings, entryKills, revisionDrops: this._revisionDrops }
     const all = [...completions, ...bookings.flatMap(story => story.attempts)]
     const violations = [...problems, ...findViolations(this._fleet, record, tokens)]
-    for (const violation of violations.slice(0, shownViolations)) this._say(`violation: ${violation}`)
-    this._sayCodes(all)
+    for (const violation of violations.slice(0, shownViolations)) this._print(`violation: ${violation}`)
+    this._printErrorCodes(all)
     return {
       requests: all.length,
       faults: this._faults,
@@ -173,25 +173,25 @@
 /**
  * Runs a soak.
  *
- * @param seed - of load and faults
- * @param seconds - of load
- * @param say - hears of violations
- * @param traced - also tell of each fault and each failed completion
+ * @param seed - seed of load and faults
+ * @param seconds - length of the load
+ * @param print - prints violations and counts of errors
+ * @param traced - whether to print each fault and each failed completion as well
  */
-export async function runSoak (seed: number, seconds: number, say: (line: string) => void, traced = false): Promise<SoakResult> {
+export async function runSoak (seed: number, seconds: number, print: (line: string) => void, traced = false): Promise<SoakResult> {
   const fleet = await Fleet.start({
     models: 3, plains: 2, entries: 2, zones: 2, adapters: adapterCount, slots: 6, places: 8, stepMs: 10, loadsPerSecond: 40, loadsAtOnce: 2, loadMs: 25
   })
   try {
-    return await new Soak(fleet, new Random(seed), new Random(seed + faultSeedOffset), say, traced).run(seconds)
+    return await new Soak(fleet, new Random(seed), new Random(seed + faultSeedOffset), print, traced).run(seconds)
   } finally {
     await closeCallers()
     await fleet.stop()
   }
 }
 
-/** The one line that a soak ends with. */
-export function soakLine (seed: number, result: SoakResult): string {
+/** The summary line that a soak ends with. */
+export function soakSummary (seed: number, result: SoakResult): string {
   const { requests, faults, answered, notRun, mayHaveRun, violations } = result
   return `soak seed ${seed}: ${requests} requests (${answered} answered, ${notRun} not-run, ${mayHaveRun} may-have-run), ${faults} faults, ${violations.length} violations`
 }
--- a/packages/bench/src/lib/settings-text.ts
+++ b/packages/bench/src/lib/settings-text.ts
@@ -1,9 +1,9 @@
 /**
- * Settings texts for the daemons of a launcher.
+ * Generates settings texts for the daemons of a launcher.
  */
 import { launcherToken } from './daemon-process.js'
 
-/** What all daemons of a fleet share. */
+/** Addresses that all daemons of a fleet share. */
 export interface FleetAddresses {
   readonly kvUrl: string
   readonly hostListUrl: string
@@ -19,7 +19,7 @@
 `
 }
 
-/** Settings of an entry. */
+/** Generates the settings of an entry. */
 export function entrySettings (name: string, zone: string, fleet: FleetAddresses, balancerNoticeMs = 100): string {
   return `role = "entry"
 ${commonSettings(name, zone, fleet, 0)}host_list_url = "${fleet.hostListUrl}"
@@ -27,14 +27,14 @@
 `
 }
 
-/** What a sidecar stands beside. */
+/** The upstream that a sidecar serves. */
 export interface UpstreamAddress {
   readonly name: string
   readonly kind: 'model' | 'plain'
   readonly url: string
 }
 
-/** Settings of a sidecar. */
+/** Generates the settings of a sidecar. */
 export function sidecarSettings (name: string, zone: string, fleet: FleetAddresses, upstream: UpstreamAddress, port = 0): string {
   return `role = "sidecar"
 ${commonSettings(name, zone, fleet, port)}upstream = "${upstream.name}"
--- a/packages/bench/src/lib/slope.ts
+++ b/packages/bench/src/lib/slope.ts
@@ -1,5 +1,5 @@
 /**
- * A measured cost and how it grows.
+ * A measured cost and its growth.
  */
 
 /** One measured point. */
--- a/packages/bench/src/lib/slopes-page.ts
+++ b/packages/bench/src/lib/slopes-page.ts
@@ -1,5 +1,5 @@
 /**
- * Plots of the slopes as one self-contained page.
+ * Renders plots of the slopes as one self-contained page.
  */
 import type { Slope } from './slope.js'
 
@@ -19,7 +19,7 @@
 }
 
 /**
- * Writes the page.
+ * Renders the page.
  *
  * @param slopes - all slopes
  */
--- a/packages/bench/src/lib/soak-faults.ts
+++ b/packages/bench/src/lib/soak-faults.ts
@@ -1,5 +1,5 @@
 /**
- * Faults that a soak injects into a fleet, each with its end.
+ * The faults that a soak injects into a fleet; each ends after some time.
  */
 import type { Fleet } from './fleet.js'
 import type { Random } from './random.js'
@@ -7,56 +7,56 @@
 /** One kind of fault. */
 export interface SoakFault {
   readonly name: string
-  /** Begins it and gives what ends it. */
+  /** Begins the fault and returns a function that ends it. */
   readonly begin: (fleet: Fleet, random: Random, state: SoakState) => Promise<() => Promise<void>>
 }
 
-/** What the checks must know of the faults. */
+/** State of the faults that checks and other faults need. */
 export interface SoakState {
-  /** Times at which an entry was killed, when callers may lose their connection. */
+  /** Times at which an entry was killed; callers may lose their connection then. */
   readonly entryKills: number[]
   drained: readonly string[]
-  /** Processes that are stopped or being replaced. */
+  /** Processes that a fault has paused or is replacing. */
   readonly busy: Set<string>
 }
 
-const noEnd = async (): Promise<void> => {}
+const noCleanup = async (): Promise<void> => {}
 
-/** How many faults hold a switch, and what it was before the first. */
-interface HeldSwitch { holders: number, readonly before: unknown }
+/** Number of active faults that set a switch, and its value before the first of them. */
+interface SwitchOverride { holders: number, readonly before: unknown }
 
-const heldSwitches = new Map<object, Map<PropertyKey, HeldSwitch>>()
+const switchOverrides = new Map<object, Map<PropertyKey, SwitchOverride>>()
 
 /**
- * Sets a switch until the last fault that set it has ended. Two faults of a kind may
- * overlap; restoring what the second one found would leave the first one's value for good.
+ * Sets a switch until the last fault that set it has ended. Two faults of one kind may overlap. If the second restored
+ * the value that it found, the first one's value would stay for good.
  */
-function setFor<T extends object, K extends keyof T> (target: T, key: K, value: T[K]): () => Promise<void> {
-  const switches = heldSwitches.get(target) ?? new Map<PropertyKey, HeldSwitch>()
-  heldSwitches.set(target, switches)
-  const held = switches.get(key) ?? { holders: 0, before: target[key] }
-  switches.set(key, held)
-  held.holders++
+function overrideSwitch<T extends object, K extends keyof T> (target: T, key: K, value: T[K]): () => Promise<void> {
+  const switches = switchOverrides.get(target) ?? new Map<PropertyKey, SwitchOverride>()
+  switchOverrides.set(target, switches)
+  const override = switches.get(key) ?? { holders: 0, before: target[key] }
+  switches.set(key, override)
+  override.holders++
   target[key] = value
   return async () => {
-    held.holders--
-    if (held.holders > 0) return
+    override.holders--
+    if (override.holders > 0) return
     switches.delete(key)
-    target[key] = held.before as T[K]
+    target[key] = override.before as T[K]
   }
 }
 
 function pick<T> (random: Random, items: readonly T[]): T { return items[random.below(items.length)]! }
 
-/** Picks a process that no other fault has in hand. */
-function pickFree (random: Random, state: SoakState, names: readonly string[]): string | undefined {
-  const free = names.filter(name => !state.busy.has(name))
-  return free.length === 0 ? undefined : pick(random, free)
+/** Picks a process that no other fault affects. */
+function pickIdle (random: Random, state: SoakState, names: readonly string[]): string | undefined {
+  const idle = names.filter(name => !state.busy.has(name))
+  return idle.length === 0 ? undefined : pick(random, idle)
 }
 
 async function replaceSidecar (fleet: Fleet, random: Random, state: SoakState, signal: 'SIGKILL' | 'SIGTERM'): Promise<() => Promise<void>> {
-  const upstream = pickFree(random, state, [...fleet.sidecars.keys()])
-  if (upstream === undefined) return noEnd
+  const upstream = pickIdle(random, state, [...fleet.sidecars.keys()])
+  if (upstream === undefined) return noCleanup
   state.busy.add(upstream)
   const old = fleet.sidecars.get(upstream)!
   old.signal(signal)
@@ -68,9 +68,9 @@
 }
 
 async function replaceEntry (fleet: Fleet, random: Random, state: SoakState, signal: 'SIGKILL' | 'SIGTERM'): Promise<() => Promise<void>> {
-  const name = pickFree(random, state, fleet.entries.map(entry => entry.name))
-  // One entry always stays, as behind a balancer.
-  if (name === undefined || state.busy.has('entries')) return noEnd
+  const name = pickIdle(random, state, fleet.entries.map(entry => entry.name))
+  // At most one entry is replaced at a time, so that one stays in service, as behind a load balancer.
+  if (name === undefined || state.busy.has('entries')) return noCleanup
   state.busy.add(name).add('entries')
   const index = fleet.entries.findIndex(entry => entry.name === name)
   const old = fleet.entries[index]!
@@ -95,39 +95,39 @@
   }
 }
 
-/** All faults. */
+/** All kinds of fault. */
 export const soakFaults: readonly SoakFault[] = [
-  { name: 'kv outage', begin: async fleet => setFor(fleet.kv.faults, 'outage', true) },
-  { name: 'kv swallows calls', begin: async fleet => setFor(fleet.kv.faults, 'blackHole', true) },
-  { name: 'kv slow', begin: async fleet => setFor(fleet.kv.faults, 'delay', 300) },
-  { name: 'kv loses replies', begin: async fleet => setFor(fleet.kv.faults, 'lostWriteShare', 0.5) },
+  { name: 'kv outage', begin: async fleet => overrideSwitch(fleet.kv.faults, 'outage', true) },
+  { name: 'kv calls hang', begin: async fleet => overrideSwitch(fleet.kv.faults, 'blackHole', true) },
+  { name: 'kv slow', begin: async fleet => overrideSwitch(fleet.kv.faults, 'delay', 300) },
+  { name: 'kv loses replies', begin: async fleet => overrideSwitch(fleet.kv.faults, 'lostWriteShare', 0.5) },
   {
     name: 'kv stale reads',
     begin: async fleet => {
       fleet.kv.takeSnapshot()
-      return setFor(fleet.kv.faults, 'staleReads', true)
+      return overrideSwitch(fleet.kv.faults, 'staleReads', true)
     }
   },
-  { name: 'host list lags', begin: async fleet => setFor(fleet.hostList, 'lag', true) },
-  { name: 'host list outage', begin: async fleet => setFor(fleet.hostList, 'outage', true) },
-  { name: 'weights slow', begin: async fleet => setFor(fleet.weights, 'slowness', 4) },
-  { name: 'weights fail', begin: async fleet => setFor(fleet.weights, 'failShare', 0.5) },
+  { name: 'host list lags', begin: async fleet => overrideSwitch(fleet.hostList, 'lag', true) },
+  { name: 'host list outage', begin: async fleet => overrideSwitch(fleet.hostList, 'outage', true) },
+  { name: 'weights slow', begin: async fleet => overrideSwitch(fleet.weights, 'slowness', 4) },
+  { name: 'weights fail', begin: async fleet => overrideSwitch(fleet.weights, 'failShare', 0.5) },
   {
     name: 'engine restart',
     begin: async (fleet, random) => {
       pick(random, fleet.engines).restart()
-      return noEnd
+      return noCleanup
     }
   },
-  { name: 'events doubled', begin: async (fleet, random) => setFor(pick(random, fleet.engines).faults, 'doubled', true) },
-  { name: 'events swapped', begin: async (fleet, random) => setFor(pick(random, fleet.engines).faults, 'swapped', true) },
-  { name: 'streams cut', begin: async (fleet, random) => setFor(pick(random, fleet.engines).faults, 'cutAfter', 5) },
-  { name: 'streams truncated', begin: async (fleet, random) => setFor(pick(random, fleet.engines).faults, 'truncate', 3) },
-  { name: 'wrong adapter', begin: async (fleet, random) => setFor(pick(random, fleet.engines).faults, 'wrongAdapter', 3) },
-  { name: 'loads fail', begin: async (fleet, random) => setFor(pick(random, fleet.engines).faults, 'failLoads', 3) },
-  { name: 'unload replies lost', begin: async (fleet, random) => setFor(pick(random, fleet.engines).faults, 'lostUnloadReplies', 3) },
-  { name: 'booking replies lost', begin: async (fleet, random) => setFor(pick(random, fleet.plains).faults, 'lostShare', 0.3) },
-  { name: 'bookings slow', begin: async (fleet, random) => setFor(pick(random, fleet.plains).faults, 'delay', 400) },
+  { name: 'events doubled', begin: async (fleet, random) => overrideSwitch(pick(random, fleet.engines).faults, 'doubled', true) },
+  { name: 'events swapped', begin: async (fleet, random) => overrideSwitch(pick(random, fleet.engines).faults, 'swapped', true) },
+  { name: 'streams cut', begin: async (fleet, random) => overrideSwitch(pick(random, fleet.engines).faults, 'cutAfter', 5) },
+  { name: 'streams truncated', begin: async (fleet, random) => overrideSwitch(pick(random, fleet.engines).faults, 'truncate', 3) },
+  { name: 'wrong adapter', begin: async (fleet, random) => overrideSwitch(pick(random, fleet.engines).faults, 'wrongAdapter', 3) },
+  { name: 'loads fail', begin: async (fleet, random) => overrideSwitch(pick(random, fleet.engines).faults, 'failLoads', 3) },
+  { name: 'unload replies lost', begin: async (fleet, random) => overrideSwitch(pick(random, fleet.engines).faults, 'lostUnloadReplies', 3) },
+  { name: 'booking replies lost', begin: async (fleet, random) => overrideSwitch(pick(random, fleet.plains).faults, 'lostShare', 0.3) },
+  { name: 'bookings slow', begin: async (fleet, random) => overrideSwitch(pick(random, fleet.plains).faults, 'delay', 400) },
   { name: 'sidecar killed', begin: (fleet, random, state) => replaceSidecar(fleet, random, state, 'SIGKILL') },
   { name: 'sidecar shut down', begin: (fleet, random, state) => replaceSidecar(fleet, random, state, 'SIGTERM') },
   { name: 'entry killed', begin: (fleet, random, state) => replaceEntry(fleet, random, state, 'SIGKILL') },
@@ -135,8 +135,8 @@
   {
     name: 'sidecar paused',
     begin: async (fleet, random, state) => {
-      const upstream = pickFree(random, state, [...fleet.sidecars.keys()])
-      if (upstream === undefined) return noEnd
+      const upstream = pickIdle(random, state, [...fleet.sidecars.keys()])
+      if (upstream === undefined) return noCleanup
       const daemon = fleet.sidecars.get(upstream)!
       return pauseProcess(state, upstream, signal => daemon.signal(signal))
     }
@@ -144,8 +144,8 @@
   {
     name: 'entry paused',
     begin: async (fleet, random, state) => {
-      const name = pickFree(random, state, fleet.entries.map(entry => entry.name))
-      if (name === undefined) return noEnd
+      const name = pickIdle(random, state, fleet.entries.map(entry => entry.name))
+      if (name === undefined) return noCleanup
       const daemon = fleet.entries.find(entry => entry.name === name)!
       return pauseProcess(state, name, signal => daemon.signal(signal))
     }
@@ -153,7 +153,7 @@
   {
     name: 'drain and undrain',
     begin: async (fleet, random, state) => {
-      if (fleet.kv.faults.outage || state.busy.has('config')) return noEnd
+      if (fleet.kv.faults.outage || state.busy.has('config')) return noCleanup
       state.busy.add('config')
       state.drained = [pick(random, [...fleet.sidecars.keys()])]
       await fleet.applyConfig(state.drained)
--- a/packages/bench/src/test/bad-input.steps.ts
+++ b/packages/bench/src/test/bad-input.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of bad input at the callers' and operators' interfaces.
+ * Tests of invalid input at the caller interface and the operator interface.
  */
 import assert from 'node:assert/strict'
 import { Given, Then, When } from '@cucumber/cucumber'
@@ -7,7 +7,7 @@
 import { serveOperators } from '@hazelford/daemon'
 import { request } from 'undici'
 import { book, complete } from '../lib/callers.js'
-import { LocalSystem, until } from './support/local-system.js'
+import { LocalSystem, waitUntil } from './support/local-system.js'
 import type { SystemWorld } from './support/world.js'
 
 interface BadWorld extends SystemWorld { status: number, body: { error?: { code: string, message: string, verdict: string } }, seen: Record<string, string> }
@@ -26,7 +26,7 @@
 const requests: Readonly<Record<string, BadRequest>> = {
   'a body that is not JSON': { path: completions, body: '{"model":' },
   'a body without a model': { path: completions, body: '{}' },
-  'a stream flag that is a word': { path: completions, body: '{"model":"a","stream":"yes"}' },
+  'a stream flag that is a string': { path: completions, body: '{"model":"a","stream":"yes"}' },
   'an unknown adapter': { path: completions, body: '{"model":"nobody"}' },
   'an unknown version': { path: completions, body: '{"model":"a@99"}' },
   'an unknown service': { path: '/services/nothing/x', body: '{}' },
@@ -38,7 +38,7 @@
   'a key of 300 characters': { path: reservations, body: '{"token":"t"}', headers: { 'idempotency-key': 'k'.repeat(300) } }
 }
 
-Given('a system for bad input', async function (this: SystemWorld) {
+Given('a system for invalid input', async function (this: SystemWorld) {
   this.system = await LocalSystem.start({ models: 1, plains: 1, maxBodyBytes })
 })
 
@@ -50,14 +50,14 @@
   })
 }
 
-Then('the error has status {int}, code {string} and says {string}', function (this: BadWorld, status: number, code: string, says: string) {
+Then('the error has status {int}, code {string} and a message with {string}', function (this: BadWorld, status: number, code: string, message: string) {
   assert.equal(this.status, status)
   assert.equal(this.body.error?.code, code)
   assert.equal(this.body.error?.verdict, 'not-run')
-  assert.ok(this.body.error.message.includes(says.replaceAll('\\"', '"')), this.body.error.message)
+  assert.ok(this.body.error.message.includes(message.replaceAll('\\"', '"')), this.body.error.message)
 })
 
-Then('the system goes on', async function (this: BadWorld) {
+Then('the system still serves requests', async function (this: BadWorld) {
   assert.equal((await complete(this.system.url, 'a@1', 'p', 2, true)).status, 200)
   assert.equal((await book(this.system.url, 'after')).status, 201)
   assert.deepEqual([...this.system.plains[0]!.bookings.keys()], ['after'])
@@ -71,7 +71,7 @@
 
 Then('the answer is 431', function (this: BadWorld) { assert.equal(this.status, 431) })
 
-When('a caller calls a plain service with internal and hop headers', async function (this: BadWorld) {
+When('a caller calls a plain service with internal and hop-by-hop headers', async function (this: BadWorld) {
   const res = await request(`${this.system.url}/services/booking/echo`, {
     headers: { 'x-fencing-number': '999', 'x-hazelford-secret': '1', 'x-hazelford-class': 'draft', 'te': 'trailers', 'x-custom': 'mine', 'accept': 'text/plain' }
   })
@@ -81,7 +81,7 @@
   this.seen = this.system.plains[0]!.echoed()
 })
 
-Then('the service sees only the headers that are its own', function (this: BadWorld) {
+Then('the service receives only the end-to-end headers', function (this: BadWorld) {
   assert.equal(this.seen['x-custom'], 'mine')
   assert.equal(this.seen.accept, 'text/plain')
   for (const name of ['x-fencing-number', 'x-hazelford-secret', 'x-hazelford-class', 'te']) assert.equal(this.seen[name], undefined, name)
@@ -94,7 +94,7 @@
 When('the booking upstream is drained', async function (this: SystemWorld) {
   this.system.drained = ['b0']
   await this.system.inForce(await this.system.applyConfig())
-  await until('the entry knows', () => !this.system.entries[0]!.entry.directory.view('b0')!.accepts(performance.now()))
+  await waitUntil('the entry sees the drain', () => !this.system.entries[0]!.entry.directory.view('b0')!.accepts(performance.now()))
 })
 
 Then('a call of "front" is refused at once as "dependency-down"', async function (this: BadWorld) {
@@ -110,18 +110,18 @@
 let operators: Awaited<ReturnType<typeof serveOperators>>
 const token = 'a-token-for-this-test-only'
 
-Given('an operators\' interface', async () => {
+Given('an operator interface', async () => {
   operators = await serveOperators({ status: () => ({}), events: new EventRing(new HybridClock(systemClock)) }, token, '127.0.0.1', 0)
 })
 
 Then('it answers 401 without a token and with a wrong one, and 200 with the right one', async () => {
-  const ask = async (headers: Record<string, string>): Promise<number> => {
+  const statusFor = async (headers: Record<string, string>): Promise<number> => {
     const res = await request(`http://127.0.0.1:${operators.port}/status`, { headers })
     await res.body.dump()
     return res.statusCode
   }
-  assert.equal(await ask({}), 401)
-  assert.equal(await ask({ authorization: 'Bearer wrong' }), 401)
-  assert.equal(await ask({ authorization: `Bearer ${token}` }), 200)
+  assert.equal(await statusFor({}), 401)
+  assert.equal(await statusFor({ authorization: 'Bearer wrong' }), 401)
+  assert.equal(await statusFor({ authorization: `Bearer ${token}` }), 200)
   operators.close()
 })
--- a/packages/bench/src/test/callers-interface.steps.ts
+++ b/packages/bench/src/test/callers-interface.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of the callers' interface without faults.
+ * Tests of the caller interface without faults.
  */
 import assert from 'node:assert/strict'
 import { Then } from '@cucumber/cucumber'
@@ -36,7 +36,7 @@
   assert.deepEqual(data.map(model => model.id).sort(), ['a@1', 'a@2', 'a@3', 'b@1', 'c@1', 'd@1'])
 })
 
-Then('health and readiness are told', async function (this: SystemWorld) {
+Then('health and readiness are reported', async function (this: SystemWorld) {
   assert.equal((await request(`${this.system.url}/healthz`)).statusCode, 200)
   assert.equal((await request(`${this.system.url}/readyz`)).statusCode, 200)
   const leaving = this.system.entries[0]!.entry.shutdown()
@@ -44,7 +44,7 @@
   await leaving
 })
 
-Then('answers carry request id and verdict', async function (this: SystemWorld) {
+Then('answers have a request id and a verdict', async function (this: SystemWorld) {
   const res = await request(`${this.system.url}/services/nothing/x`)
   await res.body.dump()
   assert.match(String(res.headers['x-request-id']), /^req-[0-9a-f]{24}$/)
--- a/packages/bench/src/test/ci-verdict.feature
+++ b/packages/bench/src/test/ci-verdict.feature
@@ -1,4 +1,4 @@
-Feature: the verdict on a test run
+Feature: the CI verdict on a test run
 
   Scenario Outline: <run>
     Given a list of known failures that names "f.feature: second"
@@ -8,20 +8,20 @@
     Examples:
       | run                                        | failing          | status | verdict | last line                      |
       | nothing fails                              | none failing     | 0      | passes  | 2 passed, 0 failed             |
-      | a known failure alone is passed over       | "second" failing | 1      | passes  | 1 passed, 0 failed, 1 skipped  |
-      | another failure counts                     | "first" failing  | 1      | fails   | 1 passed, 1 failed             |
-      | a known failure hides no other             | both failing     | 1      | fails   | 0 passed, 1 failed, 1 skipped  |
-      | a run that broke off counts                | none failing     | 1      | fails   | 2 passed, 0 failed             |
+      | a known failure alone is tolerated         | "second" failing | 1      | passes  | 1 passed, 0 failed, 1 skipped  |
+      | another failure fails the run              | "first" failing  | 1      | fails   | 1 passed, 1 failed             |
+      | a known failure does not hide another      | both failing     | 1      | fails   | 0 passed, 1 failed, 1 skipped  |
+      | an aborted run fails                       | none failing     | 1      | fails   | 2 passed, 0 failed             |
 
-  Scenario: a scenario of the same name elsewhere is not passed over
+  Scenario: a scenario of the same name in another feature is not tolerated
     Given a list of known failures that names "g.feature: second"
     When a run of the scenarios "first" and "second" of f.feature ends with "second" failing and status 1
     Then it fails and its last line is "1 passed, 1 failed"
 
-  Scenario Outline: a known failure is printed with what the run says of it
+  Scenario Outline: a known failure is printed with its state in this run
     Given a list of known failures that names "<test>"
     When a run of the scenarios "first" and "second" of f.feature ends with <failing> and status <status>
-    Then it begins with "KNOWN RED (<state>) <test>"
+    Then its output begins with "KNOWN RED (<state>) <test>"
 
     Examples:
       | test              | failing          | status | state                              |
--- a/packages/bench/src/test/ci-verdict.steps.ts
+++ b/packages/bench/src/test/ci-verdict.steps.ts
@@ -1,5 +1,5 @@
 /**
- * How a test run is judged.
+ * Checks how CI judges a test run.
  */
 import assert from 'node:assert/strict'
 import { Given, Then, When } from '@cucumber/cucumber'
@@ -11,7 +11,7 @@
 }
 interface VerdictWorld { list: string, verdict: Verdict }
 
-/** A script of its own, beside the packages: it must run where nothing was built. */
+/** The script is outside the packages, because it must run where nothing has been built. */
 const script = new URL('../../../../.ci/verdict.js', import.meta.url)
 
 function scenario (name: string, failed: boolean): object {
@@ -35,6 +35,6 @@
   assert.ok(this.verdict.lines[0]!.startsWith('KNOWN RED ('))
 })
 
-Then('it begins with {string}', function (this: VerdictWorld, begin: string) {
+Then('its output begins with {string}', function (this: VerdictWorld, begin: string) {
   assert.ok(this.verdict.lines[0]!.startsWith(begin), this.verdict.lines[0])
 })
--- a/packages/bench/src/test/config-in-force.steps.ts
+++ b/packages/bench/src/test/config-in-force.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Failure tests of the configuration's way to every process.
+ * Failure tests of the distribution of the configuration to every process.
  */
 import assert from 'node:assert/strict'
 import { Given, Then, When } from '@cucumber/cucumber'
@@ -7,13 +7,13 @@
 import { type ConfigState, configKey, nextDocument, readDocument } from '@hazelford/config'
 import { createKvClient } from '@hazelford/consul'
 import { complete } from '../lib/callers.js'
-import { until } from './support/local-system.js'
+import { waitUntil } from './support/local-system.js'
 import { expectedText, type SystemWorld } from './support/world.js'
 
 interface ConfigWorld extends SystemWorld { first: ConfigDocument, appliedAt: number }
 
-/** Long enough for several heartbeats and watches to bring an old document. */
-const observeMs = 400
+/** Long enough for several heartbeats and watches that could bring an old document. */
+const observationMs = 400
 
 function states (world: SystemWorld): readonly ConfigState[] {
   return [...world.system.entries.map(({ entry }) => entry.config), ...[...world.system.sidecars.values()].map(sidecar => sidecar.config)]
@@ -21,13 +21,13 @@
 
 Given('an old copy of the key-value service is kept', function (this: SystemWorld) { this.system.kv.takeSnapshot() })
 
-When('the key-value service swallows the next watches of all entries', async function (this: SystemWorld) {
+When('the next watches of all entries hang at the key-value service', async function (this: SystemWorld) {
   const { kv } = this.system
   kv.faults.blackHole = true
-  // Any change ends the watches that wait; those that follow are swallowed.
+  // Any change ends the waiting watches; those sent after it hang.
   kv.takeSnapshot()
   kv.restoreSnapshot()
-  await new Promise(resolve => setTimeout(resolve, observeMs))
+  await new Promise(resolve => setTimeout(resolve, observationMs))
   kv.faults.blackHole = false
 })
 
@@ -53,12 +53,12 @@
 })
 
 Then('the store has the newest revision again', async function (this: SystemWorld) {
-  await until('the store is up to date', () => readDocument(this.system.kv.peek(configKey) ?? '')?.revision === this.system.revision)
+  await waitUntil('the store is up to date', () => readDocument(this.system.kv.peek(configKey) ?? '')?.revision === this.system.revision)
 })
 
 Then('no process goes back to an older revision', async function (this: SystemWorld) {
-  const end = performance.now() + observeMs
-  await until('time has passed', () => {
+  const end = performance.now() + observationMs
+  await waitUntil('time has passed', () => {
     for (const state of states(this)) assert.equal(state.revision, this.system.revision)
     return performance.now() > end
   })
@@ -66,15 +66,15 @@
 
 When('another entry starts', async function (this: SystemWorld) { await this.system.startEntry() })
 
-Then('it has the configuration from its peers and answers requests', async function (this: SystemWorld) {
+Then('it gets the configuration from its peers and answers requests', async function (this: SystemWorld) {
   const { entry, url } = this.system.entries.at(-1)!
-  await until('it has the configuration', () => entry.config.revision === this.system.revision)
+  await waitUntil('it has the configuration', () => entry.config.revision === this.system.revision)
   await this.system.ready()
   const result = await complete(url, 'a@1', 'p', 3, true)
   assert.equal(result.text, expectedText('a@1', 3))
 })
 
-When('a peer offers the first revision to every process', async function (this: ConfigWorld) {
+When('a peer sends the first revision to every process', async function (this: ConfigWorld) {
   await this.system.inForce(this.system.revision)
   for (const state of states(this)) assert.equal(state.offer(this.first, 'peer'), false)
 })
@@ -96,7 +96,7 @@
 When('the sidecar of "m0" is replaced', async function (this: SystemWorld) {
   this.system.sidecars.get('m0')!.stop()
   await this.system.startSidecar('m0')
-  await until('the entry has dialled it', () => this.system.entries[0]!.entry.directory.view('m0')?.state === 'cold')
+  await waitUntil('the entry has connected to it', () => this.system.entries[0]!.entry.directory.view('m0')?.state === 'cold')
 })
 
 Then('it stays cold and requests are answered by "m1"', async function (this: SystemWorld) {
@@ -109,5 +109,5 @@
 })
 
 Then('the sidecar of "m0" serves again', async function (this: SystemWorld) {
-  await until('it serves', () => this.system.sidecars.get('m0')!.state === 'serving')
+  await waitUntil('it serves', () => this.system.sidecars.get('m0')!.state === 'serving')
 })
--- a/packages/bench/src/test/embedding.steps.ts
+++ b/packages/bench/src/test/embedding.steps.ts
@@ -1,5 +1,5 @@
 /**
- * The example of docs/EMBEDDING.md, run.
+ * Runs the example of docs/EMBEDDING.md.
  */
 import assert from 'node:assert/strict'
 import { Given, Then, When } from '@cucumber/cucumber'
@@ -19,7 +19,7 @@
   run: (id: string): void => { done.push(`run ${id}`) }
 }
 
-Given('an embedder\'s engine with the plan over it', () => {
+Given('an embedder\'s engine driven by the upstream plan', () => {
   const plan = new UpstreamPlan({ slots: 2, places: 4, queueLimit: 100, draftLinger: 0 }, Math.random)
   task = new Task(planUpstream(plan), effect => {
     switch (effect.kind) {
--- a/packages/bench/src/test/ending-requests.steps.ts
+++ b/packages/bench/src/test/ending-requests.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Requests that end the engines that run them, with sidecars.
+ * Requests that terminate the engines that run them, with sidecars.
  */
 import assert from 'node:assert/strict'
 import { Then, When } from '@cucumber/cucumber'
@@ -7,26 +7,26 @@
 import type { SystemWorld } from './support/world.js'
 
 const timeout = 30_000
-const endingPrompt = 'ending'
-/** Engines that may end under one request before the bound on its further attempts holds. */
+const crashPrompt = 'ending'
+/** Engines that may terminate while running a request before the bound on its further attempts applies. */
 const allowedEnds = 3
 
-When('a completion that ends each engine is asked for every {int} ms for {int} s, at the entries in turn', { timeout }, async function (this: SystemWorld, everyMs: number, seconds: number) {
+When('a completion that terminates each engine is requested every {int} ms for {int} s, at the entries in turn', { timeout }, async function (this: SystemWorld, everyMs: number, seconds: number) {
   const { engines, entries } = this.system
-  for (const engine of engines) engine.crashPrompt = endingPrompt
+  for (const engine of engines) engine.crashPrompt = crashPrompt
   const attempts: Array<Promise<unknown>> = []
   const end = performance.now() + seconds * 1_000
   for (let attempt = 0; performance.now() < end; attempt++) {
-    attempts.push(complete(entries[attempt % entries.length]!.url, 'a@1', endingPrompt, 4, true).catch(() => {}))
+    attempts.push(complete(entries[attempt % entries.length]!.url, 'a@1', crashPrompt, 4, true).catch(() => {}))
     await new Promise(resolve => setTimeout(resolve, everyMs))
   }
   await Promise.all(attempts)
 })
 
-Then('it has ended {int} engines at most later than {int} s after the third end', function (this: SystemWorld, most: number, seconds: number) {
+Then('it terminates {int} engines at most later than {int} s after the third termination', function (this: SystemWorld, most: number, seconds: number) {
   const ends = this.system.engines.flatMap(engine => engine.ends).sort((a, b) => a - b)
   const third = ends[allowedEnds - 1]
-  assert.ok(third !== undefined, `${ends.length} engines ended`)
+  assert.ok(third !== undefined, `${ends.length} engines terminated`)
   const late = ends.filter(at => at > third + seconds * 1_000)
   assert.ok(late.length <= most, `${late.length} later, ${ends.length} in all`)
 })
--- a/packages/bench/src/test/engine.steps.ts
+++ b/packages/bench/src/test/engine.steps.ts
@@ -6,7 +6,7 @@
 import { createEngineClient } from '@hazelford/engine'
 import { request } from 'undici'
 import { complete } from '../lib/callers.js'
-import { until } from './support/local-system.js'
+import { waitUntil } from './support/local-system.js'
 import type { SystemWorld } from './support/world.js'
 
 Given('the engine\'s next {int} answers claim another adapter', function (this: SystemWorld, count: number) {
@@ -37,25 +37,25 @@
   this.system.engines[0]!.faults.lostUnloadReplies = 1
 })
 
-Given('the engine takes {int} ms to hear of a cancel', function (this: SystemWorld, ms: number) {
+Given('the engine takes {int} ms to notice a cancel', function (this: SystemWorld, ms: number) {
   this.system.engines[0]!.faults.cancelDelay = ms
 })
 
-When('a caller asks for {int} tokens of {string} whole and leaves while {int} tokens of {string} are asked for', async function (this: SystemWorld, tokens: number, model: string, otherTokens: number, other: string) {
-  const leaving = new AbortController()
+When('a caller requests {int} tokens of {string} whole and disconnects while {int} tokens of {string} are requested', async function (this: SystemWorld, tokens: number, model: string, otherTokens: number, other: string) {
+  const disconnect = new AbortController()
   const body = JSON.stringify({ model, prompt: 'p', max_tokens: tokens })
-  const left = request(`${this.system.url}/v1/completions`, { method: 'POST', headers: { 'content-type': 'application/json' }, body, signal: leaving.signal }).catch(() => {})
-  await until('it runs', () => this.system.engines[0]!.running() === 1)
+  const disconnected = request(`${this.system.url}/v1/completions`, { method: 'POST', headers: { 'content-type': 'application/json' }, body, signal: disconnect.signal }).catch(() => {})
+  await waitUntil('it runs', () => this.system.engines[0]!.running() === 1)
   const next = complete(this.system.url, other, 'p', otherTokens, true)
-  leaving.abort()
-  await left
+  disconnect.abort()
+  await disconnected
   this.results.push(await next)
 })
 
 When('the engine restarts', function (this: SystemWorld) { this.system.engines[0]!.restart() })
 
 When('the engine runs {int} request(s)', async function (this: SystemWorld, count: number) {
-  await until(`${count} requests run`, () => this.system.engines[0]!.running() === count)
+  await waitUntil(`${count} requests run`, () => this.system.engines[0]!.running() === count)
 })
 
 When('the operators put version {string} of "a" in force', async function (this: SystemWorld, version: string) {
@@ -70,7 +70,7 @@
 When('a successor takes over the engine', async function (this: SystemWorld) {
   this.system.sidecars.get('m0')!.stop()
   const successor = await this.system.startSidecar('m0')
-  await until('the successor holds a number', () => successor.status().fencingNumber === 2)
+  await waitUntil('the successor has its fencing number', () => successor.status().fencingNumber === 2)
   await this.system.ready()
 })
 
@@ -82,5 +82,5 @@
   await client.close()
 })
 
-Then('its order is for a lost name', () => assert.equal(staleOutcome, 'absent'))
-Then('its order is refused', () => assert.equal(staleOutcome, 'fenced'))
+Then('its unload order names an adapter that is not loaded', () => assert.equal(staleOutcome, 'absent'))
+Then('its unload order is refused', () => assert.equal(staleOutcome, 'fenced'))
--- a/packages/bench/src/test/eviction.steps.ts
+++ b/packages/bench/src/test/eviction.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps about time and refusals.
+ * Steps that check response times.
  */
 import assert from 'node:assert/strict'
 import { Then } from '@cucumber/cucumber'
--- a/packages/bench/src/test/leaving.steps.ts
+++ b/packages/bench/src/test/leaving.steps.ts
@@ -1,45 +1,45 @@
 /**
- * Failure tests of leaving and shutting down under load.
+ * Failure tests of draining, leaving and shutting down under load.
  */
 import assert from 'node:assert/strict'
 import { Given, Then, When } from '@cucumber/cucumber'
 import { nextDocument } from '@hazelford/config'
 import { book, type CallerResult, complete } from '../lib/callers.js'
-import { until } from './support/local-system.js'
+import { waitUntil } from './support/local-system.js'
 import type { SystemWorld } from './support/world.js'
 
-interface FlowWorld extends SystemWorld { runsWhenLeft: number }
+interface TrafficWorld extends SystemWorld { runsWhenUnavailable: number }
 
 const requestCount = 240
 const eventAfter = 60
 const gapMs = 4
 const models = ['a@1', 'b@1', 'c@1']
 
-/** Sends a steady flow and does something in the middle of it. */
-async function flow (world: FlowWorld, entries: () => readonly string[], event: () => Promise<void>): Promise<void> {
+/** Sends requests at a steady rate and runs an event in the middle. */
+async function sendDuring (world: TrafficWorld, entries: () => readonly string[], event: () => Promise<void>): Promise<void> {
   const sent: Promise<CallerResult>[] = []
-  let happened: Promise<void> | undefined
+  let eventDone: Promise<void> | undefined
   for (let i = 0; i < requestCount; i++) {
-    if (i === eventAfter) happened = event()
+    if (i === eventAfter) eventDone = event()
     const urls = entries()
     const url = urls[i % urls.length]!
     sent.push(i % 3 === 2 ? book(url, `t${i}`) : complete(url, models[i % models.length]!, `p${i}`, 8, i % 2 === 0))
     await new Promise(resolve => { setTimeout(resolve, gapMs) })
   }
   world.results = await Promise.all(sent)
-  await happened
+  await eventDone
 }
 
 const everyEntry = (world: SystemWorld) => () => world.system.entries.map(({ url }) => url)
 
-function noteRuns (world: FlowWorld): void { world.runsWhenLeft = world.system.engines[0]!.runs.length }
+function recordRuns (world: TrafficWorld): void { world.runsWhenUnavailable = world.system.engines[0]!.runs.length }
 
-async function shutDownSidecar (world: FlowWorld): Promise<void> {
+async function shutDownSidecar (world: TrafficWorld): Promise<void> {
   await world.system.sidecars.get('m0')!.shutdown()
-  noteRuns(world)
+  recordRuns(world)
 }
 
-/** An entry behind a balancer: new callers stop coming once readiness is off. */
+/** Shuts an entry down as behind a load balancer: no new callers arrive once it is not ready. */
 async function shutDownEntry (world: SystemWorld): Promise<void> {
   const { entry, server } = world.system.entries[0]!
   await entry.shutdown()
@@ -48,16 +48,16 @@
 
 Given('the host list lags', function (this: SystemWorld) { this.system.hostList.lag = true })
 
-When('requests flow while the sidecar of "m0" shuts down', async function (this: FlowWorld) {
-  await flow(this, everyEntry(this), () => shutDownSidecar(this))
+When('requests are sent while the sidecar of "m0" shuts down', async function (this: TrafficWorld) {
+  await sendDuring(this, everyEntry(this), () => shutDownSidecar(this))
 })
 
-When('requests flow while the operators drain "m0"', async function (this: FlowWorld) {
-  await flow(this, everyEntry(this), async () => {
+When('requests are sent while the operators drain "m0"', async function (this: TrafficWorld) {
+  await sendDuring(this, everyEntry(this), async () => {
     this.system.drained = ['m0']
     await this.system.inForce(await this.system.applyConfig())
-    await until('m0 is idle', () => this.system.sidecars.get('m0')!.openRequests === 0)
-    noteRuns(this)
+    await waitUntil('m0 is idle', () => this.system.sidecars.get('m0')!.openRequests === 0)
+    recordRuns(this)
   })
 })
 
@@ -66,32 +66,32 @@
     this.system.drained = drained
     await this.system.inForce(await this.system.applyConfig())
     const accepts = (): boolean => this.system.entries[0]!.entry.directory.view('b0')!.accepts(performance.now())
-    await until('the entry knows', () => accepts() === (drained.length === 0))
+    await waitUntil('the entry sees the drain', () => accepts() === (drained.length === 0))
   }
 })
 
-When('requests flow while the host list shows "m0" leaving', async function (this: FlowWorld) {
-  await flow(this, everyEntry(this), async () => {
+When('requests are sent while the host list shows "m0" leaving', async function (this: TrafficWorld) {
+  await sendDuring(this, everyEntry(this), async () => {
     this.system.hostList.put({ name: 'sidecar-m0', role: 'sidecar', zone: 'z1', port: this.system.sidecarPort('m0'), operatorPort: 0, leaving: true })
-    await until('entries know', () => this.system.entries.every(({ entry }) => entry.directory.view('m0')!.barred))
-    await until('m0 is idle', () => this.system.sidecars.get('m0')!.openRequests === 0)
-    noteRuns(this)
+    await waitUntil('entries see that it leaves', () => this.system.entries.every(({ entry }) => entry.directory.view('m0')!.barred))
+    await waitUntil('m0 is idle', () => this.system.sidecars.get('m0')!.openRequests === 0)
+    recordRuns(this)
   })
 })
 
-When('requests flow while an entry shuts down', async function (this: FlowWorld) {
+When('requests are sent while an entry shuts down', async function (this: TrafficWorld) {
   const ready = (): readonly string[] => this.system.entries.filter(({ entry }) => entry.ready).map(({ url }) => url)
-  await flow(this, ready, () => shutDownEntry(this))
+  await sendDuring(this, ready, () => shutDownEntry(this))
 })
 
-When('requests flow while an entry and the sidecar of "m0" shut down', async function (this: FlowWorld) {
+When('requests are sent while an entry and the sidecar of "m0" shut down', async function (this: TrafficWorld) {
   const ready = (): readonly string[] => this.system.entries.filter(({ entry }) => entry.ready).map(({ url }) => url)
-  await flow(this, ready, async () => { await Promise.all([shutDownEntry(this), shutDownSidecar(this)]) })
+  await sendDuring(this, ready, async () => { await Promise.all([shutDownEntry(this), shutDownSidecar(this)]) })
 })
 
-When('a sidecar is drained behind its entry\'s back and bookings are sent', async function (this: SystemWorld) {
+When('a sidecar is drained without its entry\'s knowledge and bookings are sent', async function (this: SystemWorld) {
   const { entry } = this.system.entries[0]!
-  // The entry goes on as if it had heard nothing, as one whose channel lags would.
+  // The entry's view of the sidecar is frozen, as if its channel lagged.
   const view = entry.directory.view('b0')!
   view.update = () => {}
   Object.defineProperty(view, 'barred', { get: () => false, set: () => {} })
@@ -102,12 +102,12 @@
   this.results = await Promise.all(sent)
 })
 
-Then('every booking is confirmed and none ran at the drained service', function (this: SystemWorld) {
+Then('every booking is confirmed and none runs at the drained service', function (this: SystemWorld) {
   for (const result of this.results) assert.equal(result.status, 201, result.code)
   assert.equal(this.system.plains[0]!.bookings.size, 0)
 })
 
-Then('every request was answered whole', function (this: SystemWorld) {
+Then('every request is answered whole', function (this: SystemWorld) {
   assert.equal(this.results.length, requestCount)
   for (const result of this.results) {
     assert.ok(result.whole && (result.status === 200 || result.status === 201), `${result.token} ${result.model}: ${result.status} ${result.verdict} ${result.code}`)
@@ -117,7 +117,7 @@
   }
 })
 
-Then('upstream "m0" got no new work after that', function (this: FlowWorld) {
-  assert.ok(this.runsWhenLeft > 0, 'it had work before')
-  assert.equal(this.system.engines[0]!.runs.length, this.runsWhenLeft)
+Then('upstream "m0" gets no new work after that', function (this: TrafficWorld) {
+  assert.ok(this.runsWhenUnavailable > 0, 'it had work before')
+  assert.equal(this.system.engines[0]!.runs.length, this.runsWhenUnavailable)
 })
--- a/packages/bench/src/test/soak.feature
+++ b/packages/bench/src/test/soak.feature
@@ -1,6 +1,6 @@
 Feature: a short soak of real processes
-  Every promise is checked against the stand-ins' own record, under faults that come alone and together.
+  Every guarantee is checked against the stand-ins' own records, under faults that occur alone and together.
 
   Scenario: a fixed seed
     When a soak with seed 20261202 runs for 10 seconds
-    Then it made requests and faults and found no violation
+    Then requests were answered, faults were injected and no guarantee was violated
--- a/packages/bench/src/test/soak.steps.ts
+++ b/packages/bench/src/test/soak.steps.ts
@@ -12,7 +12,7 @@
   result = await runSoak(seed, seconds, line => process.stdout.write(`${line}\n`))
 })
 
-Then('it made requests and faults and found no violation', () => {
+Then('requests were answered, faults were injected and no guarantee was violated', () => {
   assert.ok(result.answered > 100)
   assert.ok(result.faults >= 5)
   assert.deepEqual(result.violations, [])
--- a/packages/bench/src/test/support/local-system.ts
+++ b/packages/bench/src/test/support/local-system.ts
@@ -1,6 +1,6 @@
 /**
- * A whole system in one process: real entries, sidecars and sockets, so that a test
- * can reach every switch.
+ * A whole system in one process, with real entries, sidecars and sockets, so that a test
+ * can reach every fault switch.
  */
 import { EventRing, HybridClock, silentLog, systemClock } from '@hazelford/core'
 import { configKey, nextDocument } from '@hazelford/config'
@@ -10,21 +10,22 @@
 import { Sidecar, silentMeter } from '@hazelford/sidecar'
 import { type EngineOptions, type HostListService, type KvService, type ModelEngine, type PlainService, startHostListService, startKvService, startModelEngine, startPlainService } from '@hazelford/stand-ins'
 
-/** Size of a system. */
+/** Size and options of a system. */
 export interface SystemSize {
   readonly models?: number
   readonly plains?: number
   readonly entries?: number
   readonly slots?: number
+  /** Batch slots of an upstream. */
   readonly places?: number
   readonly stepMs?: number
   readonly maxBodyBytes?: number
   readonly fencing?: 'checked' | 'ignored'
-  /** Further lines for the configuration. */
+  /** Additional lines of the configuration. */
   readonly services?: string
 }
 
-/** An entry and where it listens. */
+/** An entry, its server and its base URL. */
 export interface LocalEntry {
   readonly entry: Entry
   readonly server: CallerServer
@@ -32,13 +33,13 @@
 }
 
 const pollMs = 5
-const patienceMs = 8_000
+const defaultTimeoutMs = 8_000
 
-/** Waits for a condition, polling; fails with what was awaited. */
-export async function until (what: string, condition: () => boolean | Promise<boolean>, patience = patienceMs): Promise<void> {
-  const end = Date.now() + patience
+/** Polls until a condition holds; fails with its description after the timeout. */
+export async function waitUntil (what: string, condition: () => boolean | Promise<boolean>, timeoutMs = defaultTimeoutMs): Promise<void> {
+  const end = Date.now() + timeoutMs
   while (!await condition()) {
-    if (Date.now() > end) throw new Error(`Waited in vain until ${what}.`)
+    if (Date.now() > end) throw new Error(`timed out waiting until ${what}`)
     await new Promise(resolve => { setTimeout(resolve, pollMs) })
   }
 }
@@ -96,7 +97,7 @@
 `
   }
 
-  /** Puts the next revision into the key-value service. */
+  /** Writes the next revision of the configuration to the key-value service. */
   async applyConfig (): Promise<number> {
     const kv = createKvClient(this.kv.url)
     const read = await kv.read(configKey)
@@ -133,7 +134,7 @@
     return sidecar
   }
 
-  /** Where the sidecar of an upstream listens. */
+  /** Port that the sidecar of an upstream listens on. */
   sidecarPort (upstream: string): number { return this._ports.get(upstream)! }
 
   async startEntry (): Promise<LocalEntry> {
@@ -160,18 +161,18 @@
     return local
   }
 
-  /** Waits until every entry sees every upstream that is not drained serving. */
+  /** Waits until every entry sees every undrained upstream serving. */
   async ready (): Promise<void> {
     const wanted = [...this.sidecars.keys()].filter(name => !this.drained.includes(name))
     for (const { entry } of this.entries) {
-      await until('every upstream serves', () => wanted.every(name => entry.directory.view(name)?.accepts(performance.now()) === true))
+      await waitUntil('every upstream serves', () => wanted.every(name => entry.directory.view(name)?.accepts(performance.now()) === true))
     }
   }
 
   /** Waits until every process has a revision in force. */
   async inForce (revision: number): Promise<void> {
     const all = [...this.entries.map(({ entry }) => entry.config), ...[...this.sidecars.values()].map(sidecar => sidecar.config)]
-    await until(`revision ${revision} is in force`, () => all.every(config => config.revision >= revision))
+    await waitUntil(`revision ${revision} is in force`, () => all.every(config => config.revision >= revision))
   }
 
   async stop (): Promise<void> {
--- a/packages/bench/src/test/support/world.ts
+++ b/packages/bench/src/test/support/world.ts
@@ -1,5 +1,5 @@
 /**
- * What the steps of one scenario share.
+ * State that the steps of one scenario share.
  */
 import { After, type IWorld, setDefaultTimeout } from '@cucumber/cucumber'
 import { type CallerResult, closeCallers } from '../../lib/callers.js'
@@ -20,7 +20,7 @@
   await this.system.stop()
 })
 
-/** The text that an engine gives for an adapter and a number of tokens. */
+/** Returns the text that an engine produces for an adapter and a number of tokens. */
 export function expectedText (model: string, tokens: number): string {
   return Array.from({ length: tokens }, (_, i) => `${model}:${i} `).join('')
 }
--- a/packages/bench/src/test/system.steps.ts
+++ b/packages/bench/src/test/system.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps that start systems and send ordinary traffic.
+ * Steps that start systems and send requests.
  */
 import assert from 'node:assert/strict'
 import { Given, Then, When } from '@cucumber/cucumber'
@@ -7,12 +7,12 @@
 import { LocalSystem } from './support/local-system.js'
 import { expectedText, type SystemWorld } from './support/world.js'
 
-Given('a system with {int} engine(s) of {int} slot(s) and {int} place(s)', async function (this: SystemWorld, models: number, slots: number, places: number) {
+Given('a system with {int} engine(s) of {int} adapter slot(s) and {int} batch slot(s)', async function (this: SystemWorld, models: number, slots: number, places: number) {
   this.system = await LocalSystem.start({ models, slots, places, plains: 0 })
   this.results = []
 })
 
-Given('a system with {int} slow engine(s) of {int} slot(s) and {int} place(s)', async function (this: SystemWorld, models: number, slots: number, places: number) {
+Given('a system with {int} slow engine(s) of {int} adapter slot(s) and {int} batch slot(s)', async function (this: SystemWorld, models: number, slots: number, places: number) {
   this.system = await LocalSystem.start({ models, slots, places, plains: 0, stepMs: 20 })
   this.results = []
 })
@@ -32,11 +32,11 @@
   this.results = []
 })
 
-When('{int} tokens of {string} are asked for, streamed', async function (this: SystemWorld, tokens: number, model: string) {
+When('{int} tokens of {string} are requested, streamed', async function (this: SystemWorld, tokens: number, model: string) {
   this.results.push(await complete(this.system.url, model, 'p', tokens, true))
 })
 
-When('{int} tokens of {string} are asked for, whole', async function (this: SystemWorld, tokens: number, model: string) {
+When('{int} tokens of {string} are requested, whole', async function (this: SystemWorld, tokens: number, model: string) {
   this.results.push(await complete(this.system.url, model, 'p', tokens, false))
 })
 
@@ -48,7 +48,7 @@
   this.results.push(await book(this.system.url, token))
 })
 
-When('a booking {string} is sent with its key through entry {int}', async function (this: SystemWorld, token: string, entry: number) {
+When('a booking {string} is sent with its idempotency key through entry {int}', async function (this: SystemWorld, token: string, entry: number) {
   this.results.push(await book(this.system.entries[entry]!.url, token, { 'idempotency-key': token }))
 })
 
@@ -59,7 +59,7 @@
   assert.equal(result.text, expectedText(model, tokens))
 })
 
-Then('the caller that began gets all {int} tokens of {string}', async function (this: SystemWorld, tokens: number, model: string) {
+Then('the first caller gets all {int} tokens of {string}', async function (this: SystemWorld, tokens: number, model: string) {
   const result = await this.pending.shift()!
   this.results.push(result)
   assert.equal(result.status, 200, `${result.status} ${result.code}`)
@@ -67,7 +67,7 @@
   assert.equal(result.text, expectedText(model, tokens))
 })
 
-Then('the caller is told {string} with status {int} and code {string}', function (this: SystemWorld, verdict: string, status: number, code: string) {
+Then('the caller gets {string} with status {int} and code {string}', function (this: SystemWorld, verdict: string, status: number, code: string) {
   const result = this.results.at(-1)!
   assert.deepEqual({ verdict: result.verdict, status: result.status, code: result.code }, { verdict, status, code })
 })
--- a/packages/bench/src/test/whole-answers.steps.ts
+++ b/packages/bench/src/test/whole-answers.steps.ts
@@ -4,14 +4,14 @@
 import assert from 'node:assert/strict'
 import { connect, type Socket } from 'node:net'
 import { Then, When } from '@cucumber/cucumber'
-import { until } from './support/local-system.js'
+import { waitUntil } from './support/local-system.js'
 import type { SystemWorld } from './support/world.js'
 
 interface CutWorld extends SystemWorld { welcomes: number }
 
 interface SlowWorld extends SystemWorld { socket: Socket }
 
-/** A request written by hand, so that the test decides when to read. */
+/** Opens a raw socket with a request, so that the test controls when to read. */
 function openRaw (world: SystemWorld, tokens: number): Socket {
   const body = JSON.stringify({ model: 'a@1', prompt: 'x'.repeat(10), max_tokens: tokens, stream: true })
   const socket = connect(world.system.entries[0]!.server.port, '127.0.0.1')
@@ -29,40 +29,40 @@
   for (const { entry } of this.system.entries) entry.directory.cutChannels()
 })
 
-When('the channels are cut again once they are back', async function (this: CutWorld) {
+When('the channels are cut again once they are reconnected', async function (this: CutWorld) {
   const { entry } = this.system.entries[0]!
-  await until('the channel is back', () => (entry.directory.channel('m0')?.welcomes ?? 0) > this.welcomes)
+  await waitUntil('the channel is reconnected', () => (entry.directory.channel('m0')?.welcomes ?? 0) > this.welcomes)
   this.system.sidecars.get('m0')!.cutChannels()
 })
 
-When('a caller asks for a long answer and does not read it', async function (this: SlowWorld) {
+When('a caller requests a long answer and does not read it', async function (this: SlowWorld) {
   this.socket = openRaw(this, 60_000)
   this.socket.pause()
 })
 
-/** An engine takes a turn of the event loop for each token; a busy machine has few. */
+/** An engine needs a turn of the event loop for each token, and turns are slow on a busy host. */
 const producedWithinMs = 30_000
 
-Then('the sidecar holds its stream back', { timeout: 3 * producedWithinMs }, async function (this: SlowWorld) {
+Then('the sidecar applies back pressure to its stream', { timeout: 3 * producedWithinMs }, async function (this: SlowWorld) {
   const engine = this.system.engines[0]!
-  // The engine goes on decoding; what counts is that neither process buffers it all.
-  await until('the engine has produced a lot', () => engine.fill.tokens > 2_000, producedWithinMs)
+  // The engine goes on decoding; the test checks that neither process buffers the whole answer.
+  await waitUntil('the engine has produced a lot', () => engine.fill.tokens > 2_000, producedWithinMs)
   const before = process.memoryUsage().rss
-  await until('the engine has produced more', () => engine.fill.tokens > 4_000, producedWithinMs)
+  await waitUntil('the engine has produced more', () => engine.fill.tokens > 4_000, producedWithinMs)
   assert.ok(process.memoryUsage().rss - before < 64 << 20, 'memory grows with an unread answer')
   this.socket.destroy()
 })
 
-When('a caller leaves in the middle of {int} tokens', async function (this: SlowWorld, tokens: number) {
+When('a caller disconnects in the middle of {int} tokens', async function (this: SlowWorld, tokens: number) {
   this.socket = openRaw(this, tokens)
-  await until('the engine runs it', () => this.system.engines[0]!.running() === 1)
+  await waitUntil('the engine runs it', () => this.system.engines[0]!.running() === 1)
   this.socket.destroy()
 })
 
 Then('the engine stops working on it', async function (this: SystemWorld) {
-  await until('the engine is idle', () => this.system.engines[0]!.running() === 0, 1_500)
+  await waitUntil('the engine is idle', () => this.system.engines[0]!.running() === 0, 1_500)
 })
 
 Then('its slot is no longer pinned', async function (this: SystemWorld) {
-  await until('no pins are left', () => this.system.sidecars.get('m0')!.status().report.adapters.every(({ pins }) => pins === 0))
+  await waitUntil('no pins are left', () => this.system.sidecars.get('m0')!.status().report.adapters.every(({ pins }) => pins === 0))
 })
