--- a/packages/direct/src/lib/config-verifier.ts
+++ b/packages/direct/src/lib/config-verifier.ts
@@ -49,7 +49,7 @@
     const { withdrawWithin, viewAge, log } = this._options
     const bound = withdrawWithin()
     if (bound === 0 || viewAge() < bound * aheadShare) return
-    this.verify().catch((error: Error) => log.warn('config', 'configuration not verified.', { error: error.message }))
+    this.verify().catch((error: Error) => log.warn('config', 'not verified.', { error: error.message }))
   }
 
   /**
--- a/packages/direct/src/lib/credit-queue.ts
+++ b/packages/direct/src/lib/credit-queue.ts
@@ -163,7 +163,7 @@
     const waiting = [...this._waiting]
     this._options.report({ entry: this._options.node, covers, rows: this._rows(sent) })
       .catch((error: Error): readonly UsageGrant[] => {
-        this._options.log.warn('usage', 'usage not reported.', { error: error.message })
+        this._options.log.warn('usage', 'not reported.', { error: error.message })
         return []
       })
       .then(grants => this._applyGrants(grants, sent, waiting))
--- a/packages/direct/src/lib/peer-follower.ts
+++ b/packages/direct/src/lib/peer-follower.ts
@@ -41,7 +41,7 @@
   constructor (private readonly _options: PeerFollowerOptions) {}
 
   start (): void {
-    this._run().catch((error: Error) => this._options.log.warn('peers', 'following peers stopped.', { error: error.message }))
+    this._run().catch((error: Error) => this._options.log.warn('peers', 'follower stopped.', { error: error.message }))
   }
 
   stop (): void { this._stopped = true }
--- a/packages/direct/src/lib/peer-state.ts
+++ b/packages/direct/src/lib/peer-state.ts
@@ -63,7 +63,7 @@
       })
       if (state === undefined || known()) continue
       apply(state, asked)
-      log.info('peers', 'peer state applied.', { peer: `${seed.host}:${seed.port}`, version: state.config.version, upstreams: state.upstreams.length })
+      log.info('peers', 'state applied.', { peer: `${seed.host}:${seed.port}`, version: state.config.version, upstreams: state.upstreams.length })
       return
     }
     await sleep(clock, retryPause)
--- a/packages/direct/src/lib/request-intake.ts
+++ b/packages/direct/src/lib/request-intake.ts
@@ -70,7 +70,7 @@
     }
     this._options.verifier.verify().then(
       () => this._verified(incoming, credential),
-      (error: Error) => this._options.log.warn('config', 'configuration not verified.', { error: error.message })
+      (error: Error) => this._options.log.warn('config', 'not verified.', { error: error.message })
     )
   }
 
--- a/packages/direct/src/lib/store-view.ts
+++ b/packages/direct/src/lib/store-view.ts
@@ -129,7 +129,7 @@
     this._mirror.start()
     this._follower.start()
     fetchStateFromPeers(seeds, client, clock, log, () => this._mirror.known, (state, asked) => this._applyState(state, asked))
-      .catch((error: Error) => log.warn('peers', 'state not fetched from peers.', { error: error.message }))
+      .catch((error: Error) => log.warn('peers', 'state not fetched.', { error: error.message }))
   }
 
   stop (): void {
