--- a/packages/bench/src/lib/path-loads.ts
+++ b/packages/bench/src/lib/path-loads.ts
@@ -40,9 +40,9 @@
 /**
  * Runs a closed loop: each caller sends its next call when the last one is answered.
  *
- * @param target - what to call
+ * @param target - the endpoint to call
  * @param callers - number of concurrent calls
- * @param ms - how long
+ * @param ms - duration in ms
  */
 export async function closedLoop (target: Target, callers: number, ms: number): Promise<Throughput> {
   const pool = new Pool(target.url, { connections: callers })
@@ -69,9 +69,9 @@
 /**
  * Runs an open loop: calls at a fixed rate, however long the answers take.
  *
- * @param target - what to call
+ * @param target - the endpoint to call
  * @param perSecond - calls a second
- * @param ms - how long
+ * @param ms - duration in ms
  */
 export async function openLoop (target: Target, perSecond: number, ms: number): Promise<Latency> {
   const pool = new Pool(target.url, { connections: 128 })
@@ -107,7 +107,7 @@
 /**
  * Opens streams and counts their events in a window that starts after all of them have begun.
  *
- * @param target - what to call
+ * @param target - the endpoint to call
  * @param model - the requested adapter
  * @param streams - number of streams
  * @param tokens - number of events in each stream
--- a/packages/bench/src/lib/policy/experiment.ts
+++ b/packages/bench/src/lib/policy/experiment.ts
@@ -8,7 +8,7 @@
 import type { CreatePolicy } from './policy.js'
 import { SimStore } from './sim-store.js'
 
-/** Order statistics in ms. */
+/** Mean and percentiles in ms. */
 export interface Stats { readonly mean: number, readonly p50: number, readonly p95: number, readonly p99: number }
 
 /** Measured results of an experiment. */
@@ -36,7 +36,7 @@
 const reloadWithinMs = 10_000
 const seriesMs = 10_000
 
-/** Order statistics of a list. */
+/** Computes the mean and percentiles of a list. */
 export function statsOf (values: readonly number[]): Stats {
   const sorted = [...values].sort((a, b) => a - b)
   const at = (share: number): number => sorted.length === 0 ? 0 : sorted[Math.min(sorted.length - 1, Math.floor(share * sorted.length))]!
--- a/packages/bench/src/test/whole-answers.feature
+++ b/packages/bench/src/test/whole-answers.feature
@@ -47,7 +47,7 @@
     And the first caller gets all 40 tokens of "b@1"
 
   Scenario: a caller that does not read
-    Symptom: one slow phone stalls every other answer, or the entry runs out of memory.
+    Symptom: one slow caller stalls every other answer, or the entry runs out of memory.
     Events: a caller opens a long stream and stops reading.
     Cause: its chunks fill buffers that all callers share.
     Given a system with 1 engine of 2 adapter slots and 4 batch slots
--- a/packages/cli/src/lib/commands/apply.ts
+++ b/packages/cli/src/lib/commands/apply.ts
@@ -43,7 +43,7 @@
 /**
  * Applies a configuration text.
  *
- * @param ctx - connections
+ * @param ctx - connections, operator and clock of the invocation
  * @param edited - TOML text, with or without its base revision line
  * @param options - of the command
  */
@@ -67,7 +67,7 @@
 /**
  * Changes the configuration to a validated text.
  *
- * @param ctx - connections
+ * @param ctx - connections, operator and clock of the invocation
  * @param base - the stored configuration that the change is based on
  * @param text - the new configuration text
  * @param wait - whether to wait until it is in force
--- a/packages/cli/src/lib/commands/drain.ts
+++ b/packages/cli/src/lib/commands/drain.ts
@@ -27,7 +27,7 @@
 /**
  * Drains an upstream or ends its drain.
  *
- * @param ctx - connections
+ * @param ctx - connections, operator and clock of the invocation
  * @param name - the upstream
  * @param drain - true to drain, false to undrain
  * @param wait - whether to wait until it is in force
--- a/packages/cli/src/lib/commands/rollback.ts
+++ b/packages/cli/src/lib/commands/rollback.ts
@@ -8,7 +8,7 @@
 /**
  * Rolls back to an earlier revision.
  *
- * @param ctx - connections
+ * @param ctx - connections, operator and clock of the invocation
  * @param revision - the revision whose text is applied again
  * @param wait - whether to wait until it is in force
  */
--- a/packages/cli/src/lib/commands/wait-in-force.ts
+++ b/packages/cli/src/lib/commands/wait-in-force.ts
@@ -11,7 +11,7 @@
 /**
  * Polls all processes until they have the revision in force, or the wait limit has passed.
  *
- * @param ctx - connections
+ * @param ctx - connections, operator and clock of the invocation
  * @param revision - the revision to wait for
  */
 export async function waitInForce (ctx: CliContext, revision: number): Promise<Report> {
--- a/packages/cli/src/lib/queries/repeated-losses.ts
+++ b/packages/cli/src/lib/queries/repeated-losses.ts
@@ -4,7 +4,7 @@
 import { formatTable } from '../table.js'
 import type { LogLine } from './log-lines.js'
 
-/** Rows of the table. */
+/** Most rows that the table shows. */
 const lossRows = 10
 
 /** A request that was lost at upstreams, over all its attempts. */
