--- a/packages/decisions/src/lib/adapter-demand.ts
+++ b/packages/decisions/src/lib/adapter-demand.ts
@@ -24,7 +24,7 @@
 /** A requested adapter that is not loaded yet. */
 export interface PendingAdapter extends DemandTerms { readonly want: RequestedAdapter, readonly since: Ms }
 
-/** A step of one in urgency weighs as much as this factor in the number of requests. */
+/** An adapter whose requests are one step of priority more urgent weighs as much as one with this many times the requests. */
 const urgencyFactor = 3
 /** Time from a load order to the first event of a stream: the load and the reading of a prompt. */
 const loadLeadTime: Ms = 400
--- a/packages/decisions/src/lib/adapter-plan.ts
+++ b/packages/decisions/src/lib/adapter-plan.ts
@@ -36,9 +36,7 @@
 export const readyReservation: Ms = 300
 /** Adapters that one engine may load at a time; with more, the engine fails. */
 const maxInTransit = 4
-/**
- * Pause before a report is asked for, so that it shows the effect of the last order: reports lag by some hundred ms.
- */
+/** Pause before the engine is asked for a report. Reports lag by some hundred ms, and a later one shows the last order's effect. */
 const reportLag: Ms = 250
 const conflictBackoff: Ms = 100
 /**
@@ -65,7 +63,7 @@
   /** When the load was ordered; without meaning for a slot that is loaded or unloading. */
   orderedAt: Ms
   readyAt: Ms
-  /** Whether the load took longer than expected. */
+  /** Whether the load has taken longer than expected. */
   isLate: boolean
   reservedUntil: Ms
 }
@@ -118,8 +116,8 @@
   /**
    * Applies the engine's report of its loaded adapters.
    *
-   * @param report - the engine's answer to a question asked at `askedAt`
-   * @param askedAt - time
+   * @param report - the engine's report
+   * @param askedAt - time at which the engine was asked for it
    */
   applyReport (report: EngineReport, askedAt: Ms): void {
     this._unansweredOrder = undefined
@@ -146,9 +144,9 @@
     for (const { adapter, version } of adapters) {
       const key = slotKey(model, adapter)
       const before = previous.get(key)
-      const leaving = before?.state === 'unloading'
-      if (leaving) this._scheduleReport(askedAt + reportLag)
-      this._slots.set(key, { model, adapter, version, state: leaving ? 'unloading' : 'loaded', orderedAt: 0, readyAt: -Infinity, isLate: false, reservedUntil: before?.reservedUntil ?? 0 })
+      const isUnloading = before?.state === 'unloading'
+      if (isUnloading) this._scheduleReport(askedAt + reportLag)
+      this._slots.set(key, { model, adapter, version, state: isUnloading ? 'unloading' : 'loaded', orderedAt: 0, readyAt: -Infinity, isLate: false, reservedUntil: before?.reservedUntil ?? 0 })
       this._loadTimes.markRecent(key)
     }
   }
@@ -169,7 +167,7 @@
    * @param now - time
    */
   recordUse (entry: string, keys: Iterable<string>, now: Ms): void {
-    this._uses.note(entry, keys, now)
+    this._uses.record(entry, keys, now)
   }
 
   /** Records a request that is about to use an adapter, until its entry's next report. */
@@ -392,7 +390,7 @@
         this._handleNoAnswer(action, now)
         return
       case 'conflict':
-        // Reports lag; one that is asked for at once may not show the order that the engine has counted yet.
+        // Reports lag: one that is asked for at once might not yet include the order that the engine has counted.
         this._scheduleReport(now + conflictBackoff)
         return
       case 'refused':
--- a/packages/decisions/src/lib/batch-slots.ts
+++ b/packages/decisions/src/lib/batch-slots.ts
@@ -5,8 +5,8 @@
 
 /**
  * Age at which an entry's report expires. The entry has stopped by then, and the engine has terminated its requests. A
- * running entry reports each end of a request within some 20 ms, and few streams run longer than this without the end
- * of another one.
+ * running entry reports each end of a request within some 20 ms, and few streams run for longer than 5 s without
+ * another request of the same entry ending.
  */
 const reportTtl: Ms = 5_000
 
--- a/packages/decisions/src/lib/choose-upstream.ts
+++ b/packages/decisions/src/lib/choose-upstream.ts
@@ -61,9 +61,9 @@
 }
 
 function candidatesOf (query: RouteQuery, views: readonly UpstreamView[], now: Ms): readonly UpstreamView[] {
-  const open = views.filter(view => view.accepts(now))
-  const fresh = open.filter(view => !query.tried.has(view.name))
-  return fresh.length > 0 ? fresh : open
+  const accepting = views.filter(view => view.accepts(now))
+  const untried = accepting.filter(view => !query.tried.has(view.name))
+  return untried.length > 0 ? untried : accepting
 }
 
 /** Power of two choices: of two random candidates, the one with the lower cost. */
@@ -104,7 +104,7 @@
   return isLoadedSomewhere && view.adapterState(adapter) === 'absent'
 }
 
-/** Gain of joining a running batch with free slots, in ms of service time. */
+/** Gain of joining a running batch with free batch slots, in ms of service time. */
 function batchGain (view: UpstreamView, serviceMs: Ms): Ms {
   const { places } = view.report
   const room = places - view.load
--- a/packages/decisions/src/lib/engine-assignment.ts
+++ b/packages/decisions/src/lib/engine-assignment.ts
@@ -56,7 +56,7 @@
  * Only the entry that holds the most engines hands one over, and to one that holds the fewest: with several entries
  * handing over at once, the receiver would end up with too many.
  *
- * @param self - the entry that asks
+ * @param self - the entry that decides whether to hand one over
  * @param assignment - entries that can receive engines, and holders
  * @param mayMove - whether an engine may change its holder now
  * @returns undefined when the engines are evenly distributed, or when another entry has to hand one over
@@ -71,23 +71,24 @@
   return engine === undefined ? undefined : { engine, to: rendezvousOrder(engine, receivers)[0]! }
 }
 
-/** Added to the turn, for an order that was still on its way when its sender released the engine. */
+/** Margin on the holder turn, for an order that was still on its way when its sender released the engine. */
 const holderTurnMargin: Ms = 300
 
 /**
- * Engines that this entry has released, and may not claim again until a holder's turn is over.
+ * Engines that this entry has released and may not claim again before one holder turn has passed.
  *
- * To an engine, two holders that send it orders by turns look like two entries that don't know of each other: it gets
- * orders of A both before and after orders of B within one turn. So an entry that has released an engine does not claim
- * it again until the turn is over. A third entry may claim it at once.
+ * An engine that gets orders of entry A, then of B, then of A again within one holder turn can't distinguish them from
+ * the orders of two entries that both believe to be its holder. So an entry that has released an engine waits for one
+ * holder turn before it claims that engine again. A third entry may claim it at once.
  *
- * A restart forgets the releases, and needs them no more: an entry that is asked to stop sends no orders from then on
- * and still serves for longer than most of a turn, and one that is killed finds its own lease keys.
+ * The releases are kept in memory only, and a restarted entry does not need them. An entry that is asked to stop sends no
+ * orders from then on and still serves for longer than most of a holder turn; one that is killed finds its own lease keys
+ * in the store when it is back.
  */
 export class ReclaimCooldown {
   private readonly _releasedAt = new Map<string, Ms>()
 
-  /** @param _holderTurn - ms within which two holders must not send orders by turns */
+  /** @param _holderTurn - ms within which an engine must not get orders of one entry both before and after those of another */
   constructor (private readonly _holderTurn: Ms) {}
 
   /** Records that this entry has released an engine. */
--- a/packages/decisions/src/lib/identify-caller.ts
+++ b/packages/decisions/src/lib/identify-caller.ts
@@ -30,12 +30,12 @@
 /**
  * Identifies the caller of a request.
  *
- * A public route requires no key. If a request to one shows the key of an organisation all the same, that organisation
- * pays for it; a key of no organisation is ignored there.
+ * A public route requires no key. A request to a public route that carries the key of an organisation all the same counts
+ * towards the usage of that organisation; a key that belongs to no organisation is ignored there.
  *
- * @param table - the configuration in effect
- * @param route - of the request
- * @param credential - what the request shows
+ * @param table - the configuration in force
+ * @param route - route of the request
+ * @param credential - credential that the request carries
  */
 export function identifyCaller (table: RouteTable, route: Route, credential: Credential): CallerIdentity {
   if (table.config.access.kind === 'anyone') return { kind: 'anyone' }
--- a/packages/decisions/src/lib/load-throttle.ts
+++ b/packages/decisions/src/lib/load-throttle.ts
@@ -1,5 +1,5 @@
 /**
- * Limits the rate of loads of one sidecar while it learns nothing of the other sidecars' loads.
+ * Limits the rate of loads of one sidecar while it receives no information on the other sidecars' loads.
  */
 import type { Ms } from '@hazelford/core'
 
--- a/packages/decisions/src/lib/load-times.ts
+++ b/packages/decisions/src/lib/load-times.ts
@@ -6,17 +6,20 @@
 /** Initial estimates from the description of typical engines, corrected by the loads that have ended. */
 const storeLoadTime: Ms = 250
 const hostCopyLoadTime: Ms = 25
-/** Added to an expected time: the engine's next step. */
+/** Margin on an expected load time: the engine's next step. */
 const loadMargin: Ms = 2
 /** Share of a late load's time so far after which the engine is asked again, and the least pause before that. */
 const lateRetryShare = 0.12
 const minLateRetry: Ms = 12
 /**
  * Weight of one load in the slowdown, which the last few loads determine. Loads slow down while many run at a time, and
- * no entry sees all of them. A load that had ended when the engine was first asked may have ended some time before: it
- * counts as 15 % faster than expected.
+ * no entry sees all of them.
  */
 const slowdownWeight = 0.3
+/**
+ * Factor on the expected time of a load that had ended when the engine was first asked: it may have ended some time
+ * before, so it counts as 15 % faster than expected.
+ */
 const onTimeFactor = 0.85
 const minSlowdown = 0.1
 /** Number of adapters of which an engine keeps copies in its host's memory. */
@@ -59,7 +62,7 @@
    */
   record (key: string, took: Ms, isLate: boolean): void {
     if (this.isRecent(key)) return
-    const seen = isLate ? took / storeLoadTime : this._slowdown * onTimeFactor
-    this._slowdown = Math.max(minSlowdown, this._slowdown + slowdownWeight * (seen - this._slowdown))
+    const observed = isLate ? took / storeLoadTime : this._slowdown * onTimeFactor
+    this._slowdown = Math.max(minSlowdown, this._slowdown + slowdownWeight * (observed - this._slowdown))
   }
 }
--- a/packages/decisions/src/lib/place-request.ts
+++ b/packages/decisions/src/lib/place-request.ts
@@ -63,7 +63,7 @@
 /** Least cost of each request beyond the batch slots; used as it is where the service time is unknown. */
 const queueCost: Ms = 40
 /**
- * Prompt tokens that an engine reads in a ms; large models on current accelerators read 30 to 40. While it reads a
+ * Prompt tokens that an engine reads per ms; large models on current accelerators read 30 to 40. While it reads a
  * prompt, the streams that run there stand still, and all of them are late when several long prompts arrive together.
  */
 export const promptTokensPerMs = 35
@@ -117,8 +117,8 @@
 }
 
 /**
- * Share of the requests from which an adapter has a second home, where adapter slots are many. The choice between two
- * homes evens out the load.
+ * Share of a service's requests from which one adapter gets a second home, if the service has many adapter slots. The
+ * choice between two homes evens out the load.
  */
 const popularShare = 0.01
 /**
--- a/packages/decisions/src/lib/plan-messages.ts
+++ b/packages/decisions/src/lib/plan-messages.ts
@@ -6,7 +6,9 @@
 
 /** Limits of an upstream, from the configuration. */
 export interface PlanLimits {
+  /** Adapter slots. */
   readonly slots: number
+  /** Batch slots: requests that the upstream runs at once. */
   readonly places: number
   readonly queueLimit: number
   /** Time for which drafts wait for other requests to share a batch with when the engine is idle. */
@@ -44,11 +46,14 @@
 export interface PlanReport {
   readonly running: number
   readonly queued: number
+  /** Batch slots: requests that the upstream runs at once. */
   readonly places: number
+  /** Adapter slots. */
   readonly slots: number
   readonly adapters: readonly { readonly adapter: AdapterKey, readonly state: 'loading' | 'loaded', readonly pins: number }[]
   /** Moving average of the time of a load; 0 before the first. */
   readonly loadMs: Ms
+  /** Number of adapters that waiting requests need and that are neither loaded nor being loaded. */
   readonly loadsWaiting: number
   /** Moving average of the time of a request at the upstream; 0 before the first. */
   readonly serviceMs: Ms
--- a/packages/decisions/src/lib/prompt-throttle.ts
+++ b/packages/decisions/src/lib/prompt-throttle.ts
@@ -16,11 +16,11 @@
 
 /**
  * Share of an engine's time that prompts take while no request would be late for it. Streams that run there then wait
- * for 240 ms between two events of eight tokens; pauses of 300 ms are late. With 0.5 prompts waited 60 to 300 ms longer
- * and kept their adapters' slots meanwhile, and no fewer streams paused too long.
+ * for 240 ms between two events of eight tokens; pauses of 300 ms are late. With a share of 0.5, prompts wait 60 to 300 ms
+ * longer and occupy their adapter slots meanwhile, and no fewer streams pause for too long.
  */
 const normalPromptShare = 0.65
-/** Share of an engine's time that prompts take when requests would be late otherwise: pauses come to 270 ms. */
+/** Share of an engine's time that prompts take when requests would be late otherwise: streams then pause for up to 270 ms. */
 const maxPromptShare = 0.75
 /**
  * Prompt tokens that may be unread after a prompt is admitted; a larger prompt waits until nothing else is unread. Two
@@ -186,7 +186,7 @@
    * time reading faster gains nothing, and the next burst would make streams pause.
    *
    * @param streams - number of streams that ended
-   * @param paused - how many of them paused for longer than is in time
+   * @param paused - number of them that paused for too long
    */
   adjustSpeed (streams: number, paused: number): void {
     const change = (1 - slowDownShare) ** paused * (1 + speedUpShare) ** (streams - paused)
--- a/packages/decisions/src/lib/relay-flow.ts
+++ b/packages/decisions/src/lib/relay-flow.ts
@@ -54,7 +54,7 @@
   /** Close the connection to the upstream, so that it stops working on the request. */
   | { readonly kind: 'abandon' }
   | { readonly kind: 'wait', readonly delay: Ms }
-  /** Keep the complete answer that has arrived: it is an error, and another upstream may give a better one. */
+  /** Keep the complete answer that has arrived: it is an error, and another upstream may send a better answer. */
   | { readonly kind: 'hold' }
   /** Pass the answer that has arrived to the caller. */
   | { readonly kind: 'deliver' }
@@ -73,7 +73,7 @@
   readonly maxAttempts: number
 }
 
-/** What the decisions ask the entry for. */
+/** Functions that the entry provides to the decisions. */
 export interface RelayDeps {
   /** Takes a retry from the service's budget; false when it is spent. */
   readonly takeRepeat: () => boolean
@@ -102,7 +102,8 @@
   /** Upstreams that accepted no connection. */
   readonly unreachable = new Set<string>()
   sends = 0
-  missing = 0
+  /** Refusals for lack of the adapter. */
+  adapterMissingRefusals = 0
   /** The upstream that has the request now. */
   current: string | undefined
   /** The upstream to retry at, which lacked the adapter only for a moment. */
@@ -114,7 +115,7 @@
   /** Whether part of an answer was sent to the caller. */
   begun = false
   /** Whether the request is quarantined, and only its current upstream may still answer it. */
-  held = false
+  quarantined = false
   /** Whether an upstream's own error has arrived, to be delivered if no other upstream answers. */
   holdsError = false
 
@@ -176,7 +177,8 @@
 
 function handlePlaced (upstream: string, request: RelayRequest, progress: Progress, deps: RelayDeps): Transition {
   if (progress.stalled) return moveTo(upstream, progress, deps)
-  // A request that has started to run is finished, also at another upstream.
+  // Access is checked before the first send only: a request that may have started to run is completed, also at another
+  // upstream.
   if (progress.sends === 0 && !deps.isAllowed()) return endWith(giveUp(progress, 'key-withdrawn'))
   if (progress.sends > 0) {
     if (!progress.tried.has(upstream) && progress.tried.size >= request.maxAttempts) return endWith(giveUp(progress, 'attempts-spent'))
@@ -203,9 +205,9 @@
 }
 
 function handleRefused (upstream: string, refusal: UpstreamRefusal, request: RelayRequest, progress: Progress): Transition {
-  if (refusal === 'adapter-missing' && ++progress.missing <= maxAdapterMissingRetries) {
+  if (refusal === 'adapter-missing' && ++progress.adapterMissingRefusals <= maxAdapterMissingRetries) {
     progress.retryUpstream = upstream
-    return continueWith([{ kind: 'wait', delay: adapterRetryPause * progress.missing }])
+    return continueWith([{ kind: 'wait', delay: adapterRetryPause * progress.adapterMissingRefusals }])
   }
   return placeElsewhere(request, progress, 'refused')
 }
@@ -245,7 +247,7 @@
  * answer is of use to the caller.
  */
 function handleQuarantined (request: RelayRequest, progress: Progress): Transition {
-  progress.held = true
+  progress.quarantined = true
   if (progress.current !== undefined && request.kind === 'non-idempotent') return continueWith([])
   if (progress.current !== undefined) progress.mayHaveRun = true
   return endWith([...abandon(request, progress), ...giveUp(progress, 'quarantined')])
@@ -272,13 +274,13 @@
       return continueWith([{ kind: 'deliver' }])
     case 'stream-ended': return endWith([{ kind: 'finish' }])
   }
-  // The exchange has ended; the upstream works on nothing of this request any more.
+  // The exchange has ended; the upstream no longer works on this request.
   const isPlacing = progress.stalled
   progress.stalled = false
   progress.current = undefined
   progress.retryUpstream = undefined
   const next = handleExchangeEnd(msg, current!, request, progress)
-  if (progress.held && !next.over) return endWith(giveUp(progress, 'quarantined'))
+  if (progress.quarantined && !next.over) return endWith(giveUp(progress, 'quarantined'))
   return isPlacing ? dropPlacing(next) : next
 }
 
--- a/packages/decisions/src/lib/request-flow.ts
+++ b/packages/decisions/src/lib/request-flow.ts
@@ -51,7 +51,7 @@
   readonly streamed: boolean
 }
 
-/** What the decisions ask the entry for. */
+/** Functions that the entry provides to the decisions. */
 export interface FlowDeps {
   /** Chooses the upstream for the next attempt. */
   readonly choose: (tried: ReadonlySet<string>) => string | undefined
@@ -77,7 +77,7 @@
  * ever.
  */
 const maxBufferedChunks = 32
-/** Pauses while no upstream can be reached but one may come back. */
+/** Most pauses of one request while no upstream can be reached but one may come back. */
 const maxPauses = 20
 const reconnectPause: Ms = 100
 const noUpstreamRetryAfter: Ms = 1_000
--- a/packages/decisions/src/lib/request-quarantine.ts
+++ b/packages/decisions/src/lib/request-quarantine.ts
@@ -1,5 +1,5 @@
 /**
- * Quarantines requests under which upstreams terminate.
+ * Quarantines requests that terminate the upstreams that run them.
  */
 import type { Ms } from '@hazelford/core'
 
@@ -18,7 +18,7 @@
 }
 
 /**
- * Terminations of one upstream that are closer to each other than this are one: several entries report it, each at the
+ * Terminations of one upstream that are closer to each other than this count as one: several entries report it, each at the
  * time at which it noticed. A process that has terminated takes longer than this to restart.
  */
 const sameTerminationWithin: Ms = 1_000
@@ -41,7 +41,7 @@
 /**
  * Whether a request may have caused the termination of its upstream.
  *
- * @param answeredFor - ms from the first to the last data of it that came from there; 0 when none did
+ * @param answeredFor - ms from the first to the last data that the upstream sent for the request; 0 when it sent none
  */
 export function mayHaveCausedTermination (answeredFor: Ms): boolean { return answeredFor <= maxAnsweredBeforeTermination }
 
--- a/packages/decisions/src/lib/revision-holder.ts
+++ b/packages/decisions/src/lib/revision-holder.ts
@@ -13,17 +13,17 @@
 export class RevisionHolder {
   private _current: ConfigDocument | undefined
 
-  /** The document in effect in this process. */
+  /** The document in force in this process. */
   get current (): ConfigDocument | undefined { return this._current }
 
-  /** Revision of the document in effect; 0 before the first. */
+  /** Revision of the document in force; 0 before the first. */
   get revision (): number { return this._current?.revision ?? 0 }
 
   /**
    * Offers a document from any source.
    *
    * @param doc - validated document
-   * @returns whether its revision is higher, so that it is now in effect
+   * @returns whether its revision is higher, so that it is now in force
    */
   offer (doc: ConfigDocument): boolean {
     if (doc.revision <= this.revision) return false
--- a/packages/decisions/src/lib/sequencer.ts
+++ b/packages/decisions/src/lib/sequencer.ts
@@ -17,7 +17,7 @@
 
   /**
    * @param _deliver - receives each item in order
-   * @param _window - how far ahead of the next item one may be kept
+   * @param _window - how far ahead of the next item an item may be kept
    */
   constructor (private readonly _deliver: (item: T) => void, private readonly _window: number) {}
 
--- a/packages/decisions/src/lib/shared-retry-budget.ts
+++ b/packages/decisions/src/lib/shared-retry-budget.ts
@@ -44,7 +44,7 @@
  */
 export class SharedRetryBudget {
   private readonly _requests = new EventWindow()
-  private readonly _repeats = new EventWindow()
+  private readonly _retries = new EventWindow()
 
   constructor (private _limits: SharedBudgetLimits) {}
 
@@ -63,8 +63,8 @@
   takeRepeat (now: Ms, entries: number): boolean {
     const { ratio, slack, window } = this._limits
     const allowed = usedShare * (ratio * this._requests.count(now, window) + slack / Math.max(1, entries))
-    if (this._repeats.count(now, window) + 1 > allowed) return false
-    this._repeats.add(now)
+    if (this._retries.count(now, window) + 1 > allowed) return false
+    this._retries.add(now)
     return true
   }
 }
--- a/packages/decisions/src/lib/upstream-notices.ts
+++ b/packages/decisions/src/lib/upstream-notices.ts
@@ -43,16 +43,16 @@
    * @param now - time
    * @returns what it changes
    */
-  note ({ rateLimit, leaving, backoff: rest }: UpstreamNotice, sentAt: Ms, now: Ms): readonly NoticeChange[] {
+  note ({ rateLimit, leaving, backoff: backoffTime }: UpstreamNotice, sentAt: Ms, now: Ms): readonly NoticeChange[] {
     const changes: NoticeChange[] = []
-    // An answer without a limit may have been sent before the upstream reported its limit, so it counts as of its
-    // request.
+    // An answer without a limit may have been sent before the upstream reported its limit. So the absence of a limit is
+    // known only as of the time at which the request was sent.
     const limit = this.recordLimit({ rate: rateLimit, at: rateLimit === undefined ? sentAt : now })
     if (limit !== undefined) changes.push(limit)
     if (leaving && this.recordLeaving()) changes.push({ kind: 'leaving' })
-    if (rest !== undefined && now + rest > this._backoffUntil) {
-      this._backoffUntil = now + rest
-      changes.push({ kind: 'rest', lasts: rest })
+    if (backoffTime !== undefined && now + backoffTime > this._backoffUntil) {
+      this._backoffUntil = now + backoffTime
+      changes.push({ kind: 'rest', lasts: backoffTime })
     }
     return changes
   }
--- a/packages/decisions/src/lib/upstream-plan.ts
+++ b/packages/decisions/src/lib/upstream-plan.ts
@@ -54,13 +54,13 @@
 
   /** Report of the load and the adapter slots, for the heartbeat. */
   report (): PlanReport {
-    const held = this._slots.all().filter(slot => !slot.closing)
+    const open = this._slots.all().filter(slot => !slot.closing)
     return {
       running: this._running.size,
       queued: this._waiting.size,
       places: this._limits.places,
       slots: this._limits.slots,
-      adapters: held.flatMap(({ adapter, state, pins }) =>
+      adapters: open.flatMap(({ adapter, state, pins }) =>
         state === 'loading' || state === 'loaded' ? [{ adapter, state, pins }] : []),
       loadMs: this._loadMs.measured,
       loadsWaiting: this._adaptersToLoad().length,
@@ -130,8 +130,8 @@
   /** Expected ms until a request that arrives now would start. */
   private _expectedWait (request: PlanRequest, now: Ms): Ms {
     const ahead = this._waiting.all().filter(other => compareUrgency(other, request) <= 0).length
-    const freePlaces = this._limits.places - this._running.size
-    const queueWait = ahead < freePlaces ? 0 : (ahead - freePlaces + 1) / this._limits.places * this._serviceMs.value
+    const freeBatchSlots = this._limits.places - this._running.size
+    const queueWait = ahead < freeBatchSlots ? 0 : (ahead - freeBatchSlots + 1) / this._limits.places * this._serviceMs.value
     const ready = request.adapter === undefined || this._slots.isReady(request.adapter)
     return ready ? queueWait : Math.max(queueWait, this._loadMs.value / 2)
   }
@@ -295,8 +295,8 @@
   /** Whether an adapter slot is free; if not, starts to free one. */
   private _makeRoom (next: PlanRequest, now: Ms): boolean {
     if (this._slots.size < this._limits.slots) return true
-    const busy = this._slots.all().some(slot => slot.state === 'unloading' || slot.state === 'unknown')
-    if (busy) return false
+    const isFreeing = this._slots.all().some(slot => slot.state === 'unloading' || slot.state === 'unknown')
+    if (isFreeing) return false
     const victim = this._slots.victim(slot => this._retentionValue(slot, now))
     if (victim === undefined || this._isAwaited(victim)) {
       this._closeSlotFor(next, now)
--- a/packages/decisions/src/lib/usage-allocator.ts
+++ b/packages/decisions/src/lib/usage-allocator.ts
@@ -47,7 +47,7 @@
   readonly slack: number
 }
 
-/** What an allocator must know besides the report. */
+/** What an allocator needs besides the report. */
 export interface AllocatorContext {
   readonly bounds: UsageBounds
   readonly now: Ms
@@ -79,7 +79,7 @@
 const overageSpread = 0.25
 /** Least share of a limit's burst that can be used at once. */
 const minBurstShare = 0.5
-/** Age up to which an entry's report counts for what waits: each entry has reported again by then. */
+/** Age up to which the waiting requests in an entry's report are counted: each entry has reported again by then. */
 const waitingReportTtl: Ms = 500
 /**
  * Share of a bucket that is granted only to waiting requests. Granted ahead of need, it would lie unused at some
@@ -91,7 +91,7 @@
 
 interface EntryReport { readonly holding: number, readonly waiting: number, readonly at: Ms }
 
-/** Credit of one account. */
+/** Credit of one account that can be granted. */
 class Bucket {
   private readonly _reports = new Map<string, EntryReport>()
   private _level = 0
