--- a/packages/decisions/src/test/adapter-plan.feature
+++ b/packages/decisions/src/test/adapter-plan.feature
@@ -1,5 +1,5 @@
 Feature: load and unload orders for one engine
-  Each scenario plays orders and answers against a small simulated engine that fails as real engines do.
+  Each scenario runs a plan against a small simulated engine that loses and delays orders and answers as real engines do.
 
   Scenario: orders without an answer, late orders and restarts
     An engine that is ordered to load more adapters than it has slots crashes with all its requests. This happens when an
@@ -30,8 +30,8 @@
 
   Scenario: an overloaded weight store
     Callers wait for rare adapters while an adapter that many requests wait for is not loaded. This happens when loads
-    are ordered by age alone. The store serves 8 loads at once; of 60 requests a second one in five is for the same
-    adapter.
+    are ordered by age alone. The store serves 8 loads at once; 60 requests arrive per second, and one in five of them is
+    for the same adapter.
     Then the adapter that most requests wait for is loaded among the first four
 
   Scenario: a new version while requests run on the old one
--- a/packages/decisions/src/test/adapter-plan.steps.ts
+++ b/packages/decisions/src/test/adapter-plan.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Plays load requests against the plan of one engine, with an engine that loses and delays orders.
+ * Runs load requests against the plan of one engine, with a simulated engine that loses and delays orders.
  */
 import assert from 'node:assert/strict'
 import { Given, Then, When } from '@cucumber/cucumber'
@@ -16,12 +16,12 @@
   return { slots: 32, weightsMb: 10_000, adapterSlots, loadsPerSecond: 4, models: [{ name: model, weightsMb: 1_000, adapterMb: 10, adapters: 100 }] }
 }
 
-/** A simulated engine that counts orders, and refuses an order whose sender knew of fewer. */
+/** A simulated engine that counts orders, and refuses an order that names another count. */
 class SimulatedEngine {
   /** @param loadTime - ms */
   constructor (readonly loadTime = 250) {}
 
-  readonly held = new Map<string, number>()
+  readonly loaded = new Map<string, number>()
   readonly coming = new Map<string, number>()
   orders = 0
   conflicts = 0
@@ -37,14 +37,14 @@
       this.conflicts++
       return 'conflict'
     }
-    if (kind === 'load' && this.held.has(adapter)) return 'holds'
+    if (kind === 'load' && this.loaded.has(adapter)) return 'holds'
     this.orders++
     if (kind === 'unload') {
-      this.held.delete(adapter)
+      this.loaded.delete(adapter)
       return 'holds'
     }
     this.coming.set(adapter, now + this.loadTime)
-    this.maxOccupied = Math.max(this.maxOccupied, this.held.size + this.coming.size)
+    this.maxOccupied = Math.max(this.maxOccupied, this.loaded.size + this.coming.size)
     this.maxInTransit = Math.max(this.maxInTransit, this.coming.size)
     return 'accepted'
   }
@@ -52,7 +52,7 @@
   report (now: number): EngineReport {
     this._completeLoads(now)
     return {
-      models: [{ model, version: 1, adapters: [...this.held.keys()].map(adapter => ({ adapter, version: 1 })) }],
+      models: [{ model, version: 1, adapters: [...this.loaded.keys()].map(adapter => ({ adapter, version: 1 })) }],
       coming: [...this.coming.keys()].map(adapter => ({ model, adapter, version: 1 })),
       busy: false,
       orders: this.orders,
@@ -65,7 +65,7 @@
     for (const [adapter, at] of this.coming) {
       if (at > now) continue
       this.coming.delete(adapter)
-      this.held.set(adapter, 1)
+      this.loaded.set(adapter, 1)
     }
   }
 }
@@ -79,7 +79,7 @@
   fates: fc.array(fc.constantFrom<OrderFate>('answered', 'answered', 'answered', 'lost-before', 'lost-after', 'late'), { minLength: 5, maxLength: 40 })
 })
 
-/** Plays all load requests. An order's fate decides whether the order arrives, and whether its answer does. */
+/** Simulates all load requests. An order's fate decides whether the order arrives, and whether its answer does. */
 function simulate ({ requests, fates }: Simulation, loadTime?: number): SimulatedEngine {
   const engine = new SimulatedEngine(loadTime)
   const plan = new AdapterPlan(specOf(4))
--- a/packages/decisions/src/test/direct-decisions.feature
+++ b/packages/decisions/src/test/direct-decisions.feature
@@ -30,7 +30,7 @@
   Scenario: a copy away from home
     Most of the rarely requested adapters are loaded on two engines, and the weight store's rate is spent on the second
     copies. This happens when the home's slots are all in use, another engine loads the adapter, and seconds later the next
-    request goes home again, as its entry does not know of the copy.
+    request goes home again, as its entry knows only of copies that were reserved for it within the last 300 ms.
     Then a request for an adapter goes where it was loaded recently, and not home for a second copy
     But a further home of a popular adapter is used as soon as the first one has more requests
 
--- a/packages/decisions/src/test/direct-decisions.steps.ts
+++ b/packages/decisions/src/test/direct-decisions.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Tests of the small decisions of an entry that sends directly.
+ * Tests of routes, retry budgets, health and placement of an entry that sends directly.
  */
 import assert from 'node:assert/strict'
 import { Then } from '@cucumber/cucumber'
--- a/packages/decisions/src/test/engine-assignment.feature
+++ b/packages/decisions/src/test/engine-assignment.feature
@@ -16,6 +16,6 @@
     Then for any entries each free engine has one first claimant and no entry is first for more than its share
 
   Scenario: an engine returns to an entry that held it just before
-    An engine gets orders of two entries by turns, as from two that don't know of each other. This happens when an entry
+    An engine gets orders of two entries in turn, as if each believed to be its only holder. This happens when an entry
     hands an engine to another one, which is stopped 0.7 s later, and the first one claims it again at once.
-    Then for any handovers, stops and starts no entry holds an engine both before and after another within a turn
+    Then for any handovers, stops and starts no entry holds an engine both before and after another within a holder turn
--- a/packages/decisions/src/test/engine-assignment.steps.ts
+++ b/packages/decisions/src/test/engine-assignment.steps.ts
@@ -113,8 +113,9 @@
   private readonly _freeSince = new Map<string, number>()
   private readonly _startedAt = new Map<string, number>()
   private readonly _stoppedAt = new Map<string, number>()
-  private readonly _former = new Map<string, string>()
-  readonly holds = new Map<string, HolderPeriod[]>()
+  private readonly _lastHolder = new Map<string, string>()
+  /** Time of each entry as holder, by engine. */
+  readonly periods = new Map<string, HolderPeriod[]>()
   private _now = 0
 
   constructor (engines: number, entries: number) {
@@ -126,7 +127,7 @@
   pass (until: number): void {
     for (; this._now < until; this._now += tick) {
       for (const engine of this._assignment.engines) if (!this._assignment.holders.has(engine)) this._claim(engine)
-      for (const engine of this._assignment.holders.keys()) this.holds.get(engine)!.at(-1)!.until = this._now
+      for (const engine of this._assignment.holders.keys()) this.periods.get(engine)!.at(-1)!.until = this._now
       for (const entry of this._assignment.entries) this._handOver(entry)
     }
   }
@@ -146,7 +147,7 @@
 
   private _release (engine: string, entry: string): void {
     this._assignment.holders.delete(engine)
-    this._former.set(engine, entry)
+    this._lastHolder.set(engine, entry)
     this._cooldowns.get(entry)!.left(engine, this._now)
     this._freeSince.set(engine, this._now)
   }
@@ -155,10 +156,10 @@
     const since = this._freeSince.get(engine) ?? 0
     const sequence = claimSequences([engine], this._assignment).get(engine)!
     const claimant = sequence.find((entry, rank) => this._now - since >= rank * claimStep && this._now - (this._startedAt.get(entry) ?? -firstClaimAfter) >= firstClaimAfter &&
-      (this._former.get(engine) === entry || this._cooldowns.get(entry)!.mayReclaim(engine, this._now)))
+      (this._lastHolder.get(engine) === entry || this._cooldowns.get(entry)!.mayReclaim(engine, this._now)))
     if (claimant === undefined) return
     this._assignment.holders.set(engine, claimant)
-    this.holds.set(engine, [...this.holds.get(engine) ?? [], { entry: claimant, from: this._now, until: this._now }])
+    this.periods.set(engine, [...this.periods.get(engine) ?? [], { entry: claimant, from: this._now, until: this._now }])
   }
 
   private _handOver (entry: string): void {
@@ -167,7 +168,7 @@
   }
 }
 
-Then('for any handovers, stops and starts no entry holds an engine both before and after another within a turn', () => {
+Then('for any handovers, stops and starts no entry holds an engine both before and after another within a holder turn', () => {
   const steps = fc.array(fc.record({ entry: fc.nat(4), after: fc.integer({ min: 1, max: 30 }) }), { maxLength: 30 })
   fc.assert(fc.property(steps, list => {
     const simulation = new HolderSimulation(8, 5)
@@ -177,14 +178,14 @@
       simulation.toggle(`entry-${entry}`)
       simulation.pass(now += after * tick)
     }
-    for (const holds of simulation.holds.values()) assertNoReturnWithinTurn(holds)
+    for (const periods of simulation.periods.values()) assertNoReturnWithinTurn(periods)
   }), propertyOptions)
 })
 
-function assertNoReturnWithinTurn (holds: readonly HolderPeriod[]): void {
-  for (const [i, hold] of holds.entries()) {
-    const earlier = holds.slice(0, i).findLast(({ entry }) => entry === hold.entry)
-    const between = earlier === undefined ? 0 : holds.slice(holds.indexOf(earlier) + 1, i).length
-    if (between > 0) assert.ok(hold.from - earlier!.until >= holderTurn, `${hold.entry} holds the engine again after ${hold.from - earlier!.until} ms: ${JSON.stringify(holds)}`)
+function assertNoReturnWithinTurn (periods: readonly HolderPeriod[]): void {
+  for (const [i, period] of periods.entries()) {
+    const earlier = periods.slice(0, i).findLast(({ entry }) => entry === period.entry)
+    const between = earlier === undefined ? 0 : periods.slice(periods.indexOf(earlier) + 1, i).length
+    if (between > 0) assert.ok(period.from - earlier!.until >= holderTurn, `${period.entry} holds the engine again after ${period.from - earlier!.until} ms: ${JSON.stringify(periods)}`)
   }
 }
--- a/packages/decisions/src/test/prompt-throttle.feature
+++ b/packages/decisions/src/test/prompt-throttle.feature
@@ -1,6 +1,6 @@
 Feature: prompts are admitted to an engine at the rate at which it reads them
   The load of a busy day at one engine: 20 requests a second in bursts of three, prompts of 60 to 7,000 tokens, answers of
-  290 tokens, five to an event. The engine reads 38 tokens a ms, and its streams stand still meanwhile. A stream is in time
+  290 tokens, five to an event. The engine reads 38 tokens per ms, and its streams stand still meanwhile. A stream is in time
   when its first event arrives within 800 ms and no pause is longer than 300 ms.
 
   Scenario: bursts of prompts
@@ -21,8 +21,8 @@
 
   Scenario Outline: a first event may come later than it could
     One stream in ten pauses for too long on a day on which the engine reads prompts for a third of its time. This happens
-    when a burst of prompts is admitted as fast as the engine can read, and the time until the first events are due is
-    left unused.
+    when a burst of prompts is admitted as fast as the engine can read, so that its streams get five tokens in 300 ms or
+    more, and the time until the first events are due is left unused.
     Then at <a second> requests a second at least <least> in 100 streams are in time
 
     Examples:
--- a/packages/decisions/src/test/prompt-throttle.steps.ts
+++ b/packages/decisions/src/test/prompt-throttle.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Plays the load of one engine with and without the throttle, and counts the streams that are in time.
+ * Simulates the load of one engine with and without the throttle, and counts the streams that are in time.
  */
 import assert from 'node:assert/strict'
 import { Then } from '@cucumber/cucumber'
@@ -98,7 +98,7 @@
     const reported = engine.outcomes.length
     now += engine.step(now)
     const ended = engine.outcomes.slice(reported)
-    throttle.adjustSpeed(ended.length, ended.filter(({ paused: late }) => late).length)
+    throttle.adjustSpeed(ended.length, ended.filter(({ paused: hasPaused }) => hasPaused).length)
   }
   return engine.outcomes
 }
--- a/packages/decisions/src/test/relay-flow.steps.ts
+++ b/packages/decisions/src/test/relay-flow.steps.ts
@@ -61,7 +61,7 @@
     return msg.kind === 'waited' ? this._pausing : this._placing
   }
 
-  heard (msg: RelayMessage): void {
+  onMessage (msg: RelayMessage): void {
     if (msg.kind === 'waited') this._pausing = false
     if (msg.kind === 'placed' || msg.kind === 'unplaced' || msg.kind === 'moves-again') this._placing = false
     // A silent upstream that the request moves away from may have run it.
@@ -116,16 +116,17 @@
   for (const msg of list) {
     if (observer.final !== undefined) break
     if (!observer.isPossible(msg)) continue
-    observer.heard(msg)
+    observer.onMessage(msg)
     step = flow.next(msg)
     for (const effect of step.value ?? []) observer.onEffect(effect)
   }
   return observer
 }
 
-function assertNoViolation (words: string): void {
+/** Asserts that no run has a violation whose text includes the given one. */
+function assertNoViolation (text: string): void {
   fc.assert(fc.property(inputs, input => {
-    const broken = observe(input).violations.filter(violation => violation.includes(words))
+    const broken = observe(input).violations.filter(violation => violation.includes(text))
     assert.deepEqual(broken, [])
   }), { ...propertyOptions, numRuns: 2_000 })
 }
--- a/packages/decisions/src/test/request-quarantine.feature
+++ b/packages/decisions/src/test/request-quarantine.feature
@@ -1,11 +1,11 @@
-Feature: requests under which upstreams terminate are quarantined
+Feature: requests that terminate the upstreams that run them are quarantined
 
   Scenario: any sequence of terminations, answers and queries
     Then a request is quarantined exactly when a naive count of its terminations requires it
 
   Scenario: three upstreams terminate while running one request
-    Engines terminate one after the other for as long as a caller repeats its request. This happens when the terminations
-    under its attempts, which different entries see, are not counted.
+    Engines terminate one after the other for as long as a caller repeats its request. This happens when each attempt
+    terminates an engine, different entries see this, and the terminations are not counted together.
     Given a quarantine after 3 terminations for 600 s
     When upstreams "u1", "u2" and "u3" terminate while running a request, 400 ms apart
     Then the request is quarantined, and others are not
@@ -29,8 +29,8 @@
     Then the request is not quarantined
 
   Scenario: another entry quarantines a request that is answered here
-    A check that all callers send is refused at every entry, because an entry that has just started has counted
-    terminations under it.
+    A check that all callers send is refused at every entry. This happens when an entry that has just started, and has
+    answered no check yet, counts terminations of upstreams that were running one.
     Given a quarantine after 3 terminations for 600 s
     When a request is answered, and 200 ms later another entry reports it as quarantined
     Then the request is not quarantined
--- a/packages/decisions/src/test/slots-under-load.steps.ts
+++ b/packages/decisions/src/test/slots-under-load.steps.ts
@@ -5,7 +5,7 @@
 import { Then } from '@cucumber/cucumber'
 import { simulateSlots, type SlotLoad } from './support/slot-simulation.js'
 
-/** A late stream counts three tenths of one in time. */
+/** Value of a late stream to its caller, where a stream in time counts 1. */
 const lateWeight = 0.3
 const seeds = [1, 2, 3, 4]
 
--- a/packages/decisions/src/test/small-decisions.feature
+++ b/packages/decisions/src/test/small-decisions.feature
@@ -1,13 +1,13 @@
 Feature: ledgers, revisions, budgets and placement
   Small decisions that others rely on, each compared with a naive version.
 
-  Scenario: a request frame is taken once, and never after its withdraw
+  Scenario: a request frame runs at most once, and never after its withdraw
     A request runs although its caller was answered that it was withdrawn. This happens when frames arrive twice or late, or
-    a withdraw arrives first, and the sidecar runs a frame that it should have known.
+    a withdraw arrives first, and the sidecar does not remember that it received the frame or its withdraw.
     Then a ledger and a set of everything received agree on which frames may run
 
   Scenario: a configuration never goes to a lower revision
-    Then for any order of documents the revision in effect is the highest offered so far
+    Then for any order of documents the revision in force is the highest offered so far
 
   Scenario: retries stay within their share of first attempts
     The other availability zones receive several times their load and fail too after one has failed. This happens when every
--- a/packages/decisions/src/test/small-decisions.steps.ts
+++ b/packages/decisions/src/test/small-decisions.steps.ts
@@ -18,21 +18,21 @@
   const frames = fc.array(fc.record({ withdraw: fc.boolean(), seq: fc.integer({ min: 1, max: 30 }) }), { maxLength: 100 })
   fc.assert(fc.property(frames, list => {
     const ledger = new RequestLedger()
-    const taken = new Set<number>()
+    const run = new Set<number>()
     const withdrawn = new Set<number>()
     for (const { withdraw, seq } of list) {
       if (withdraw) {
         if (ledger.recordWithdrawal(seq)) withdrawn.add(seq)
       } else if (ledger.register(seq) === 'new') {
-        assert.ok(!taken.has(seq), 'the frame ran twice')
+        assert.ok(!run.has(seq), 'the frame ran twice')
         assert.ok(!withdrawn.has(seq), 'the frame ran after its withdraw')
-        taken.add(seq)
+        run.add(seq)
       }
     }
   }), propertyOptions)
 })
 
-Then('for any order of documents the revision in effect is the highest offered so far', () => {
+Then('for any order of documents the revision in force is the highest offered so far', () => {
   fc.assert(fc.property(fc.array(fc.integer({ min: 1, max: 50 })), revisions => {
     const holder = new RevisionHolder()
     let highest = 0
@@ -104,9 +104,9 @@
 })
 
 Then('a request goes to the sidecar with the adapter while it has room and elsewhere once its queue is long', () => {
-  const held = [{ adapter: 'x@1', state: 'loaded' as const, pins: 0 }]
+  const loaded = [{ adapter: 'x@1', state: 'loaded' as const, pins: 0 }]
   const choose = (queued: number): string | undefined => {
-    const views = [view('holder', { adapters: held, running: 4, queued }), view('other', {})]
+    const views = [view('holder', { adapters: loaded, running: 4, queued }), view('other', {})]
     return chooseUpstream({ adapter: 'x@1', zone: 'z', tried: new Set() }, views, weights, 0, () => 0)?.name
   }
   assert.equal(choose(0), 'holder')
--- a/packages/decisions/src/test/support/termination-simulation.ts
+++ b/packages/decisions/src/test/support/termination-simulation.ts
@@ -11,7 +11,7 @@
   /** Streams open at any time. */
   readonly streams: number
   /** Mean time of a stream in ms. */
-  readonly lasts: Ms
+  readonly meanStreamTime: Ms
   readonly engines: number
   readonly length: Ms
   readonly seed: number
@@ -19,9 +19,9 @@
 
 /** Result of a simulation. */
 export interface TerminationResult {
-  readonly ends: number
+  readonly terminations: number
   /** Number of different requests that were quarantined. */
-  readonly held: number
+  readonly quarantined: number
 }
 
 /** One stream: its request, its engine, and the times of its start there and of its end. */
@@ -36,8 +36,9 @@
 
 /** The engines, their streams and the quarantine. */
 class TerminationSimulation {
-  readonly held = new Set<string>()
-  ends = 0
+  /** Requests that were quarantined. */
+  readonly quarantined = new Set<string>()
+  terminations = 0
   private readonly _rng
   private readonly _quarantine = new RequestQuarantine({ after: 3, holdTime: 600_000 })
   private readonly _backAt: Ms[]
@@ -69,7 +70,7 @@
 
   /** Terminates an engine; its streams move to others. */
   private _terminate (engine: number, now: Ms): void {
-    this.ends++
+    this.terminations++
     this._backAt[engine] = now + restartTime
     this._recordTermination(terminatingRequest, engine, now)
     for (const [n, stream] of this._streams.entries()) {
@@ -80,11 +81,11 @@
   }
 
   private _recordTermination (request: string, engine: number, now: Ms): void {
-    if (this._quarantine.recordTermination(request, { upstream: `u${engine}`, at: now }, now) && this._quarantine.hold(request, now)) this.held.add(request)
+    if (this._quarantine.recordTermination(request, { upstream: `u${engine}`, at: now }, now) && this._quarantine.hold(request, now)) this.quarantined.add(request)
   }
 
   private _startStream (now: Ms): Stream {
-    const until = now + this._load.lasts * (0.5 + uniformFloat64(this._rng))
+    const until = now + this._load.meanStreamTime * (0.5 + uniformFloat64(this._rng))
     return { request: `stream-${this._streamCount++}`, engine: this._pick(this._load.engines), since: now, until }
   }
 
@@ -98,5 +99,5 @@
     simulation.completeStreams(now)
     if (now % repeatInterval === 0) simulation.sendTerminatingRequest(now)
   }
-  return { ends: simulation.ends, held: simulation.held.size }
+  return { terminations: simulation.terminations, quarantined: simulation.quarantined.size }
 }
--- a/packages/decisions/src/test/upstream-plan.feature
+++ b/packages/decisions/src/test/upstream-plan.feature
@@ -3,7 +3,7 @@
   rule about adapter slots, batch slots or deadlines is broken by some sequence of messages: loads fail, unloads lose their
   reply, requests are withdrawn, slots run out, in any order.
 
-  Scenario: any sequence of messages ends every request exactly once and never breaks a pin
+  Scenario: any sequence of messages ends every request exactly once and never unloads a pinned adapter
     Given any load, failures and withdrawals over a few slots
     Then the plan and a naive plan end the same requests and start each on its adapter
 
--- a/packages/decisions/src/test/upstream-plan.steps.ts
+++ b/packages/decisions/src/test/upstream-plan.steps.ts
@@ -39,8 +39,8 @@
   arrive (id: string): void { this.ended.add(id) }
 }
 
-function runSteps (steps: readonly Step[]): { readonly bench: PlanHarness, readonly naive: NaivePlan } {
-  const bench = new PlanHarness({ slots: 2, places: 3, queueLimit: 8, draftLinger: 50 })
+function runSteps (steps: readonly Step[]): { readonly harness: PlanHarness, readonly naive: NaivePlan } {
+  const harness = new PlanHarness({ slots: 2, places: 3, queueLimit: 8, draftLinger: 50 })
   const naive = new NaivePlan()
   let now = 0
   let count = 0
@@ -49,26 +49,26 @@
       case 'arrive': {
         const id = `r${count++}`
         naive.arrive(id)
-        bench.arrive(request(id, `a${step.adapter}@1`, step.trafficClass, now, now + step.deadline), now)
+        harness.arrive(request(id, `a${step.adapter}@1`, step.trafficClass, now, now + step.deadline), now)
         break
       }
-      case 'withdraw': bench.post({ kind: 'withdraw', at: now, id: `r${step.which}` }); break
-      case 'engine': bench.engineStep(step.succeeds, now); break
-      case 'finish': bench.finishOne(now); break
+      case 'withdraw': harness.post({ kind: 'withdraw', at: now, id: `r${step.which}` }); break
+      case 'engine': harness.engineStep(step.succeeds, now); break
+      case 'finish': harness.finishOne(now); break
       case 'time':
         now += step.by
-        bench.post({ kind: 'tick', at: now })
+        harness.post({ kind: 'tick', at: now })
         break
-      case 'restart': bench.restart(now)
+      case 'restart': harness.restart(now)
     }
   }
   for (let round = 0; round < settleRounds; round++) {
     now += 200
-    bench.post({ kind: 'tick', at: now })
-    bench.engineStep(true, now)
-    bench.finishOne(now)
+    harness.post({ kind: 'tick', at: now })
+    harness.engineStep(true, now)
+    harness.finishOne(now)
   }
-  return { bench, naive }
+  return { harness, naive }
 }
 
 let anySteps: fc.Arbitrary<readonly Step[]>
@@ -79,138 +79,138 @@
 
 Then('the plan and a naive plan end the same requests and start each on its adapter', () => {
   fc.assert(fc.property(anySteps, steps => {
-    const { bench, naive } = runSteps(steps)
-    assert.deepEqual([...bench.outcomes.keys()].sort(), [...naive.ended].sort())
-    assert.equal(bench.running.size, 0)
+    const { harness, naive } = runSteps(steps)
+    assert.deepEqual([...harness.outcomes.keys()].sort(), [...naive.ended].sort())
+    assert.equal(harness.running.size, 0)
   }), propertyOptions)
 })
 
-let bench: PlanHarness
+let harness: PlanHarness
 
 Given('one slot whose adapter is in use', () => {
-  bench = new PlanHarness({ slots: 1, places: 4, queueLimit: 10, draftLinger: 0 })
-  bench.arrive(request('user', 'busy@1', 'interactive', 0, forever), 0)
-  bench.engineStep(true, 0)
-  bench.engineStep(true, 0)
-  assert.deepEqual(bench.started, ['user'])
+  harness = new PlanHarness({ slots: 1, places: 4, queueLimit: 10, draftLinger: 0 })
+  harness.arrive(request('user', 'busy@1', 'interactive', 0, forever), 0)
+  harness.engineStep(true, 0)
+  harness.engineStep(true, 0)
+  assert.deepEqual(harness.started, ['user'])
 })
 
 When('another adapter waits longer than its class waits for a slot', () => {
-  bench.arrive(request('other', 'other@1', 'booking', 0, forever), 0)
-  for (let at = 100; at <= 20_000; at += 100) bench.post({ kind: 'tick', at })
+  harness.arrive(request('other', 'other@1', 'booking', 0, forever), 0)
+  for (let at = 100; at <= 20_000; at += 100) harness.post({ kind: 'tick', at })
 })
 
 Then('nothing is unloaded before the last byte', () => {
-  assert.deepEqual(bench.unloaded, [])
-  bench.finishOne(20_000)
-  assert.deepEqual(bench.unloaded, ['busy@1'])
+  assert.deepEqual(harness.unloaded, [])
+  harness.finishOne(20_000)
+  assert.deepEqual(harness.unloaded, ['busy@1'])
 })
 
 Then('the waiting adapter is loaded after it', () => {
-  for (let i = 0; i < 4; i++) bench.engineStep(true, 20_001)
-  assert.deepEqual(bench.started, ['user', 'other'])
+  for (let i = 0; i < 4; i++) harness.engineStep(true, 20_001)
+  assert.deepEqual(harness.started, ['user', 'other'])
 })
 
 Given('one batch slot that is occupied by a slow request', () => {
-  bench = new PlanHarness({ slots: 1, places: 1, queueLimit: 10, draftLinger: 0 })
-  bench.arrive(request('slow', undefined, 'interactive', 0, forever), 0)
+  harness = new PlanHarness({ slots: 1, places: 1, queueLimit: 10, draftLinger: 0 })
+  harness.arrive(request('slow', undefined, 'interactive', 0, forever), 0)
 })
 
 When('a request with a short deadline arrives', () => {
-  bench.arrive(request('short', undefined, 'interactive', 0, 50), 0)
+  harness.arrive(request('short', undefined, 'interactive', 0, 50), 0)
 })
 
 Then('it is refused at once with a time to retry after', () => {
-  assert.equal(bench.refusals[0]?.id, 'short')
-  assert.equal(bench.refusals[0]?.code, 'overloaded')
-  assert.ok(bench.refusals[0].retryAfter > 0)
+  assert.equal(harness.refusals[0]?.id, 'short')
+  assert.equal(harness.refusals[0]?.code, 'overloaded')
+  assert.ok(harness.refusals[0].retryAfter > 0)
 })
 
 Given('one batch slot and a queue of drafts', () => {
-  bench = new PlanHarness({ slots: 1, places: 1, queueLimit: 10, draftLinger: 0 })
-  bench.arrive(request('running', undefined, 'draft', 0, forever), 0)
-  bench.arrive(request('draft-1', undefined, 'draft', 1, forever), 1)
-  bench.arrive(request('draft-2', undefined, 'draft', 2, forever), 2)
+  harness = new PlanHarness({ slots: 1, places: 1, queueLimit: 10, draftLinger: 0 })
+  harness.arrive(request('running', undefined, 'draft', 0, forever), 0)
+  harness.arrive(request('draft-1', undefined, 'draft', 1, forever), 1)
+  harness.arrive(request('draft-2', undefined, 'draft', 2, forever), 2)
 })
 
 When('receipts keep arriving for each one that is answered', () => {
   for (let i = 0; i < 8; i++) {
-    bench.arrive(request(`receipt-${i}`, undefined, 'receipt', 10 + i, forever), 10 + i)
-    bench.finishOne(10 + i)
+    harness.arrive(request(`receipt-${i}`, undefined, 'receipt', 10 + i, forever), 10 + i)
+    harness.finishOne(10 + i)
   }
 })
 
 Then('every fourth start is the oldest draft', () => {
-  const drafts = bench.started.flatMap((id, i) => id.startsWith('draft') ? [i] : [])
+  const drafts = harness.started.flatMap((id, i) => id.startsWith('draft') ? [i] : [])
   assert.deepEqual(drafts, [3, 7])
 })
 
 Given('a draft that waits for a permit to load', () => {
-  bench = new PlanHarness({ slots: 2, places: 4, queueLimit: 10, draftLinger: 0 })
-  bench.arrive(request('draft', 'd@1', 'draft', 0, forever), 0)
-  assert.deepEqual(bench.requestedRanks, [2])
+  harness = new PlanHarness({ slots: 2, places: 4, queueLimit: 10, draftLinger: 0 })
+  harness.arrive(request('draft', 'd@1', 'draft', 0, forever), 0)
+  assert.deepEqual(harness.requestedRanks, [2])
 })
 
 When('a receipt for another adapter arrives', () => {
-  bench.arrive(request('receipt', 'r@1', 'receipt', 1, forever), 1)
+  harness.arrive(request('receipt', 'r@1', 'receipt', 1, forever), 1)
 })
 
-Then('the permit is requested with the receipt\'s rank', () => assert.deepEqual(bench.requestedRanks, [2, 0]))
+Then('the permit is requested with the receipt\'s rank', () => assert.deepEqual(harness.requestedRanks, [2, 0]))
 
 Then('the receipt\'s adapter is loaded first', () => {
-  bench.engineStep(true, 2)
-  assert.deepEqual([...bench.loading], ['r@1'])
+  harness.engineStep(true, 2)
+  assert.deepEqual([...harness.loading], ['r@1'])
 })
 
 Given('a request that hangs on an adapter since before an engine restart', () => {
-  bench = new PlanHarness({ slots: 1, places: 4, queueLimit: 10, draftLinger: 0 })
-  bench.arrive(request('hung', 'a@1', 'interactive', 0, forever), 0)
-  bench.engineStep(true, 0)
-  bench.engineStep(true, 0)
-  bench.loaded.clear()
-  bench.post({ kind: 'slots-listed', at: 1, loaded: [] })
+  harness = new PlanHarness({ slots: 1, places: 4, queueLimit: 10, draftLinger: 0 })
+  harness.arrive(request('hung', 'a@1', 'interactive', 0, forever), 0)
+  harness.engineStep(true, 0)
+  harness.engineStep(true, 0)
+  harness.loaded.clear()
+  harness.post({ kind: 'slots-listed', at: 1, loaded: [] })
 })
 
 When('the adapter is loaded anew for another request and the hung one is given up', () => {
-  bench.arrive(request('fresh', 'a@1', 'interactive', 2, forever), 2)
-  bench.engineStep(true, 2)
-  bench.engineStep(true, 2)
-  assert.ok(bench.running.has('fresh'))
-  bench.running.delete('hung')
-  bench.post({ kind: 'finished', at: 3, id: 'hung', ran: false })
+  harness.arrive(request('fresh', 'a@1', 'interactive', 2, forever), 2)
+  harness.engineStep(true, 2)
+  harness.engineStep(true, 2)
+  assert.ok(harness.running.has('fresh'))
+  harness.running.delete('hung')
+  harness.post({ kind: 'finished', at: 3, id: 'hung', ran: false })
 })
 
 Then('the adapter is not unloaded while the other runs', () => {
-  bench.arrive(request('other', 'b@1', 'interactive', 4, forever), 4)
-  assert.deepEqual(bench.unloaded, [])
+  harness.arrive(request('other', 'b@1', 'interactive', 4, forever), 4)
+  assert.deepEqual(harness.unloaded, [])
 })
 
 When('a receipt arrives last', () => {
-  bench.arrive(request('receipt', undefined, 'receipt', 3, forever), 3)
+  harness.arrive(request('receipt', undefined, 'receipt', 3, forever), 3)
 })
 
 Then('the receipt starts first and the drafts follow in order', () => {
-  for (let at = 10; at < 14; at++) bench.finishOne(at)
-  assert.deepEqual(bench.started, ['running', 'receipt', 'draft-1', 'draft-2'])
+  for (let at = 10; at < 14; at++) harness.finishOne(at)
+  assert.deepEqual(harness.started, ['running', 'receipt', 'draft-1', 'draft-2'])
 })
 
 Given('one slot whose adapter was unloaded with its reply lost', () => {
-  bench = new PlanHarness({ slots: 1, places: 4, queueLimit: 10, draftLinger: 0 })
-  bench.arrive(request('first', 'a@1', 'interactive', 0, forever), 0)
-  bench.engineStep(true, 0)
-  bench.engineStep(true, 0)
-  bench.finishOne(1)
-  bench.arrive(request('second', 'b@1', 'interactive', 2, forever), 2)
-  bench.engineStep(false, 3)
+  harness = new PlanHarness({ slots: 1, places: 4, queueLimit: 10, draftLinger: 0 })
+  harness.arrive(request('first', 'a@1', 'interactive', 0, forever), 0)
+  harness.engineStep(true, 0)
+  harness.engineStep(true, 0)
+  harness.finishOne(1)
+  harness.arrive(request('second', 'b@1', 'interactive', 2, forever), 2)
+  harness.engineStep(false, 3)
 })
 
 Then('nothing starts on it until the engine was asked', () => {
-  bench.arrive(request('third', 'a@1', 'interactive', 4, forever), 4)
-  assert.deepEqual(bench.started, ['first'])
-  assert.ok(bench.listRequested)
+  harness.arrive(request('third', 'a@1', 'interactive', 4, forever), 4)
+  assert.deepEqual(harness.started, ['first'])
+  assert.ok(harness.listRequested)
   for (let at = 5; at < 30; at++) {
-    bench.engineStep(true, at)
-    bench.finishOne(at)
+    harness.engineStep(true, at)
+    harness.finishOne(at)
   }
-  assert.deepEqual([...bench.started].sort(), ['first', 'second', 'third'])
+  assert.deepEqual([...harness.started].sort(), ['first', 'second', 'third'])
 })
