--- a/packages/config/src/lib/check-references.ts
+++ b/packages/config/src/lib/check-references.ts
@@ -11,7 +11,7 @@
 function unknownName (kind: string, name: string, known: readonly string[], remedy: string): string {
   const near = nearestName(name, known)
   const hint = near === undefined ? remedy : `Did you mean "${near}"?`
-  return `names "${name}", which no ${kind} has. ${hint}`
+  return `refers to "${name}", but no ${kind} of that name is defined. ${hint}`
 }
 
 function checkDependencies (raw: RawConfig, lines: Lines): Problem[] {
--- a/packages/config/src/lib/config-state.ts
+++ b/packages/config/src/lib/config-state.ts
@@ -36,7 +36,7 @@
     const parsed = parseConfig(doc.text)
     if (parsed.isErr()) {
       // A newer program version may have accepted a document that this version can't parse.
-      // Keeping the old configuration is safe; the status shows that the revision lags.
+      // Keeping the old configuration is safe; the status page shows that the revision lags.
       this._log.warn('config', 'revision not understood.', { revision: doc.revision, source, problems: parsed.error })
       return false
     }
--- a/packages/config/src/lib/config.ts
+++ b/packages/config/src/lib/config.ts
@@ -13,7 +13,7 @@
   readonly name: string
   readonly kind: 'model' | 'plain'
   readonly dependsOn: readonly string[]
-  /** Class of a request that requests none, after inheritance from dependants. */
+  /** Class of a request that does not name one: the service's own class, or that of a more urgent dependant. */
   readonly trafficClass: TrafficClass
   /** Most urgent class that a caller may request. */
   readonly highestClass: TrafficClass
@@ -30,7 +30,9 @@
   readonly service: string
   /** Whether the engine refuses load and unload orders with an old fencing number. */
   readonly fencing: 'checked' | 'ignored'
+  /** Adapter slots of the engine. */
   readonly slots: number
+  /** Batch slots: requests that the upstream runs at once. */
   readonly places: number
   readonly drained: boolean
 }
--- a/packages/core/src/lib/instant.ts
+++ b/packages/core/src/lib/instant.ts
@@ -12,8 +12,8 @@
 }
 
 /**
- * Difference between the times elapsed on both clocks from which on the process counts as suspended. The monotonic clock stops
- * while the host is suspended; the wall clock goes on.
+ * Least difference, in ms, between the wall time and the monotonic time elapsed at which the process counts as suspended. The
+ * monotonic clock stops while the host is suspended; the wall clock goes on.
  */
 const suspensionThreshold: Ms = 250
 
--- a/packages/ports/src/lib/call-codec.ts
+++ b/packages/ports/src/lib/call-codec.ts
@@ -37,7 +37,7 @@
   readonly priority: number
   readonly adapterVersion?: number
   readonly lastEventId?: number
-  /** Whether callers authenticate by key; the request's key is then removed before it is forwarded. */
+  /** Whether callers authenticate by key. Requests are then forwarded without the caller's key. */
   readonly byKey: boolean
   /** Organisation that the request belongs to. */
   readonly organisation?: string
--- a/packages/ports/src/lib/engine-control.ts
+++ b/packages/ports/src/lib/engine-control.ts
@@ -38,9 +38,13 @@
   readonly models: readonly EngineModel[]
   /** Adapters that are being fetched from the weight store. */
   readonly coming: readonly (EngineAdapter & { readonly model: string })[]
+  /** Whether the engine is loading a model; loads of adapters are not included. */
   readonly busy: boolean
+  /** Number of orders that the engine has accepted since its start. */
   readonly orders: number
+  /** Requests that occupy a batch slot. */
   readonly running: number
+  /** Requests that wait for a batch slot. */
   readonly waiting: number
 }
 
--- a/packages/ports/src/lib/route-config.ts
+++ b/packages/ports/src/lib/route-config.ts
@@ -85,7 +85,7 @@
   readonly unit: UsageUnit
   /** Units per second. */
   readonly rate: number
-  /** Units that may be used at once in addition. */
+  /** Units that may be used at once, in addition to the rate. */
   readonly burst: number
   /** Tokens counted for a request that declares no token count. */
   readonly plainTokens: number
@@ -97,7 +97,7 @@
   readonly keys: readonly KeyDigest[]
   /** Overrides the priority of a route; undefined leaves the route's. */
   readonly priority?: number
-  /** Undefined for unlimited usage. */
+  /** Undefined when the organisation's usage is unlimited. */
   readonly limit?: UsageLimit
 }
 
