--- a/packages/config/src/lib/config.ts
+++ b/packages/config/src/lib/config.ts
@@ -150,6 +150,6 @@
 export function findAdapter (config: Config, name: string, version?: string): AdapterRef | undefined {
   const adapter = config.adapters.get(name)
   if (adapter === undefined) return undefined
-  const wanted = version ?? adapter.version
-  return adapter.versions.includes(wanted) ? { name, version: wanted } : undefined
+  const requested = version ?? adapter.version
+  return adapter.versions.includes(requested) ? { name, version: requested } : undefined
 }
--- a/packages/decisions/src/lib/adapter-plan.ts
+++ b/packages/decisions/src/lib/adapter-plan.ts
@@ -106,8 +106,8 @@
   get waiting (): number { return this._demand.size }
 
   /**
-   * Number of orders that the engine has counted. The next order names it, so that the engine refuses an order that is
-   * based on another view of it.
+   * Number of orders that the engine has counted. The next order names it, and the engine refuses an order that names
+   * another number: it is based on an outdated state of the engine.
    */
   get orders (): number { return this._orders }
 
@@ -245,7 +245,7 @@
     return slot.state === 'loaded'
   }
 
-  /** The engine lacks an adapter that the plan counts as loaded: its load is late, or the plan's view is wrong. */
+  /** The engine lacks an adapter that the plan counts as loaded: its load is late, or the plan's record of the engine is wrong. */
   private _invalidate (slot: Slot, now: Ms): void {
     slot.state = 'unknown'
     slot.orderedAt = now
@@ -263,7 +263,7 @@
   }
 
   /**
-   * Decides the next action. One order is in progress at any time.
+   * Decides the next action. At most one order is in progress at any time.
    *
    * @param now - time
    */
@@ -406,8 +406,8 @@
    * Whether the engine counts an order that it has accepted.
    *
    * A load order that is sent again while the load is in progress is accepted once more, but changes nothing and is not
-   * counted by the engine. If it were counted here, the engine would refuse the next order as based on another view,
-   * and nothing could be loaded there until the engine has sent a report.
+   * counted by the engine. If it were counted here, the engine would refuse the next order, which would name a higher
+   * number, and nothing could be loaded there until the engine has sent a report.
    */
   private _isCounted (action: PlanAction & { readonly kind: 'load' | 'unload' }, outcome: 'accepted' | 'holds'): boolean {
     if (action.kind === 'unload') return true
@@ -419,8 +419,8 @@
   /**
    * Handles an order without an answer. The engine may have accepted it, or may carry it out seconds later.
    *
-   * The same order, sent again on the same view of the engine, settles both cases. If the first one was accepted, the
-   * engine has counted it and refuses the second. If not, the engine counts the second and refuses the first whenever
+   * The same order, sent again with the same number of counted orders, settles both cases. If the first one was accepted,
+   * the engine has counted it and refuses the second. If not, the engine counts the second and refuses the first whenever
    * it arrives. Until then a load counts as occupying its slot, since otherwise the plan could order one load too many.
    */
   private _handleNoAnswer (action: PlanAction & { readonly kind: 'load' | 'unload' }, now: Ms): void {
--- a/packages/decisions/src/lib/rendezvous.ts
+++ b/packages/decisions/src/lib/rendezvous.ts
@@ -19,7 +19,7 @@
  *
  * @param key - adapter or idempotency key
  * @param nodes - upstream names
- * @returns the names, highest weight first; the removal of a node leaves the order of the others
+ * @returns the names, highest weight first; the removal of a node leaves the order of the others unchanged
  */
 export function rendezvousOrder (key: string, nodes: readonly string[]): readonly string[] {
   return nodes
--- a/packages/decisions/src/lib/request-flow.ts
+++ b/packages/decisions/src/lib/request-flow.ts
@@ -266,7 +266,7 @@
   }
 }
 
-/** Ends a request whose deadline passed, or whose caller left, while no attempt was running. */
+/** Final effects of a request whose deadline passed, or whose caller left, while no attempt was running. */
 function interruptedEffects (outcome: 'deadline' | 'caller-gone', answer: BufferedAnswer, worst: Verdict): readonly FlowEffect[] {
   if (outcome === 'caller-gone') return [{ kind: 'forget' }]
   return finalFailure(answer, correctVerdict(deadlineFailure({ verdict: 'not-run' }), worst))
--- a/packages/decisions/src/test/prompt-throttle.feature
+++ b/packages/decisions/src/test/prompt-throttle.feature
@@ -4,8 +4,8 @@
   when its first event arrives within 800 ms and no pause is longer than 300 ms.
 
   Scenario: bursts of prompts
-    Half of all streams pause for too long although the engine has time to spare. This happens when each prompt is sent as
-    soon as it arrives: the engine reads all prompts of a burst before its next token.
+    Half of all streams pause for too long although the engine has time to spare. This happens when several
+    prompts arrive within 100 ms and each is sent at once: the engine reads all of them before its next token.
     Then with the throttle at least 80 in 100 streams of the busy day are in time, and 20 in 100 more than without
 
   Scenario: more prompts than can be read
--- a/packages/decisions/src/test/relay-flow.steps.ts
+++ b/packages/decisions/src/test/relay-flow.steps.ts
@@ -33,12 +33,13 @@
 const inputs: fc.Arbitrary<Input> = fc.record({ request: requests, messages: fc.array(messages, { maxLength: 40 }) })
 
 const finals = new Set<RelayEffect['kind']>(['finish', 'fail', 'break', 'forget'])
-const ofExchange = new Set<RelayMessage['kind']>(['refused', 'unreachable', 'lost', 'whole', 'streaming', 'stream-ended'])
+const exchangeMessages = new Set<RelayMessage['kind']>(['refused', 'unreachable', 'lost', 'whole', 'streaming', 'stream-ended'])
 
 /** A naive observer of one run, which collects violations. */
 class Observer {
   readonly violations: string[] = []
   readonly upstreams = new Set<string>()
+  /** Whether an upstream has the request. */
   open = false
   mayHaveRun = false
   final: RelayEffect | undefined
@@ -56,7 +57,7 @@
     if (msg.kind === 'timeout' || msg.kind === 'caller-gone' || msg.kind === 'held') return true
     // An exchange whose answer has begun can neither be refused nor fail to connect.
     if (this._isStreaming && (msg.kind === 'refused' || msg.kind === 'unreachable' || msg.kind === 'whole')) return false
-    if (ofExchange.has(msg.kind) || msg.kind === 'stalled') return this.open
+    if (exchangeMessages.has(msg.kind) || msg.kind === 'stalled') return this.open
     if (msg.kind === 'moves-again') return this.open && this._placing
     return msg.kind === 'waited' ? this._pausing : this._placing
   }
@@ -71,7 +72,7 @@
     if (msg.kind === 'lost' || msg.kind === 'whole' || msg.kind === 'streaming') this.mayHaveRun = true
     if (msg.kind === 'timeout' && this.open) this.mayHaveRun = true
     if (msg.kind === 'held') this._onQuarantined()
-    if (ofExchange.has(msg.kind) && msg.kind !== 'streaming') this.open = false
+    if (exchangeMessages.has(msg.kind) && msg.kind !== 'streaming') this.open = false
   }
 
   /** A non-idempotent request stays at its upstream, which may still answer that it did not run. */
--- a/packages/decisions/src/test/slots-under-load.steps.ts
+++ b/packages/decisions/src/test/slots-under-load.steps.ts
@@ -9,7 +9,7 @@
 const lateWeight = 0.3
 const seeds = [1, 2, 3, 4]
 
-const summaries: Omit<SlotLoad, 'seed' | 'rate'> = { slots: 6, adapters: 3_000, length: 34_000, streamTime: 700, firstEventTime: 150, target: 1_000, patience: 2_500, reportInterval: 20 }
+const summaryLoad: Omit<SlotLoad, 'seed' | 'rate'> = { slots: 6, adapters: 3_000, length: 34_000, streamTime: 700, firstEventTime: 150, target: 1_000, patience: 2_500, reportInterval: 20 }
 
 function meanValue (load: Omit<SlotLoad, 'seed'>): number {
   const results = seeds.map(seed => simulateSlots({ ...load, seed }))
@@ -17,6 +17,6 @@
 }
 
 Then('at twice the load that the slots can carry callers get {float} of what they would get from an idle engine', (least: number) => {
-  const got = meanValue({ ...summaries, rate: 12 })
+  const got = meanValue({ ...summaryLoad, rate: 12 })
   assert.ok(got >= least, `callers get ${got}`)
 })
--- a/packages/decisions/src/test/support/slot-simulation.ts
+++ b/packages/decisions/src/test/support/slot-simulation.ts
@@ -15,7 +15,9 @@
   readonly streamTime: Ms
   /** Ms from the time at which an adapter is loaded to the first event. */
   readonly firstEventTime: Ms
+  /** Ms from a request to the latest first event that is in time. */
   readonly target: Ms
+  /** Longest time that a caller waits for its stream to start. */
   readonly patience: Ms
   /** Ms between two reports of an entry on the adapters that it uses; a load request reports them too. */
   readonly reportInterval: Ms
--- a/packages/decisions/src/test/view-age.steps.ts
+++ b/packages/decisions/src/test/view-age.steps.ts
@@ -14,6 +14,7 @@
   /** Revision up to which it has received every change. */
   revision = 0
   private _suspended: Ms = 0
+  /** Ms by which its wall clock was set. */
   private _set: Ms = 0
 
   constructor (private readonly _offset: Ms) {}
@@ -33,10 +34,13 @@
   /** The process that is asked; -1 for the store. */
   readonly of: number
   readonly by: number
+  /** Time until the question arrives. */
   readonly there: Ms
+  /** Time from then on until the answer is read. */
   readonly back: Ms
   /** Part of `back` for which the asking process is suspended. */
   readonly suspended: Ms
+  /** Ms by which the wall clock of the asking process is set meanwhile. */
   readonly set: Ms
   /** Time since the last question. */
   readonly after: Ms
