--- a/packages/decisions/src/lib/request-quarantine.ts
+++ b/packages/decisions/src/lib/request-quarantine.ts
@@ -5,7 +5,7 @@
 
 /** Limits from which a request is quarantined, and for how long. */
 export interface QuarantineLimits {
-  /** Terminations of upstreams while running a request after which it is quarantined. */
+  /** Number of terminations of upstreams that were running a request after which the request is quarantined. */
   readonly after: number
   /** Ms for which the request is quarantined. */
   readonly holdTime: Ms
@@ -54,7 +54,7 @@
 }
 
 /**
- * Counts the terminations of upstreams while running each request.
+ * Counts, for each request, the terminations of upstreams that were running it.
  *
  * A request can terminate every upstream that starts to run it. Its caller repeats it and entries retry it; each
  * attempt terminates one more upstream, with all requests that run there, for as long as the caller repeats it. Other
@@ -66,7 +66,8 @@
 export class RequestQuarantine {
   private readonly _terminations = new Map<string, readonly UpstreamTermination[]>()
   /**
-   * Quarantined requests and the end of their quarantine; kept for one more hold time, in which they are on probation.
+   * Quarantined requests and the end of their quarantine. A request is kept here for one more hold time, in which it is on
+   * probation.
    */
   private readonly _quarantinedUntil = new Map<string, Ms>()
   /** Requests that were answered completely, and when. */
--- a/packages/decisions/src/lib/shared-retry-budget.ts
+++ b/packages/decisions/src/lib/shared-retry-budget.ts
@@ -7,7 +7,7 @@
 export interface SharedBudgetLimits {
   /** Retries allowed for each request. */
   readonly ratio: number
-  /** Retries allowed on top in each window. */
+  /** Retries allowed in addition in each window. */
   readonly slack: number
   readonly window: Ms
 }
--- a/packages/decisions/src/lib/store-role.ts
+++ b/packages/decisions/src/lib/store-role.ts
@@ -18,8 +18,8 @@
   | { readonly kind: 'follow', readonly watchersToAsk: readonly string[] }
 
 /**
- * Number of entries up to which each of them watches the store itself. The cost of watching grows with their number.
- * For a few entries it is low, and none depends on another one.
+ * Number of entries up to which each of them watches the store itself. The store's load grows with the number of entries
+ * that watch it. With few entries this load is low, and no entry depends on another one for changes in the store.
  */
 const allWatchUpTo = 8
 /** Entries of one availability zone per watcher there: with 68 entries in six zones, each zone has two watchers. */
--- a/packages/decisions/src/lib/usage-allocator.ts
+++ b/packages/decisions/src/lib/usage-allocator.ts
@@ -4,7 +4,7 @@
 import type { Ms } from '@hazelford/core'
 import type { UsageLimit } from '@hazelford/ports'
 
-/** Limit on the usage of an account: units per second, and units at once on top. */
+/** Limit on the usage of an account: units per second, and units that may be used at once in addition. */
 export type CreditLimit = Pick<UsageLimit, 'rate' | 'burst'>
 
 /** An entry's report on one account. Amounts are in the limit's unit. */
@@ -16,7 +16,7 @@
   readonly first: number
   /** What all waiting requests there need beyond the entry's credit. */
   readonly waiting: number
-  /** What the entry asks for on top, for the requests that it expects until its next report. */
+  /** What the entry asks for ahead of need, for the requests that it expects until its next report. */
   readonly ahead: number
   /** Credit that the entry returns; `holding` excludes it. */
   readonly returned: number
@@ -43,7 +43,7 @@
   readonly window: Ms
   /** Share of the window's usage by which the limit may be exceeded. */
   readonly overage: number
-  /** Units on top, in the limit's unit. */
+  /** Units by which the limit may be exceeded in addition, in the limit's unit. */
   readonly slack: number
 }
 
@@ -100,8 +100,8 @@
   private _covered: Ms = 0
 
   /**
-   * Adds the credit that has accrued, up to a cap that includes the credit at the entries: that is not used yet, and
-   * could be used in one moment together with the credit here.
+   * Adds the credit that has accrued, up to a cap that includes the credit that entries were granted and have not used:
+   * they could use it in one moment together with the credit in this bucket.
    *
    * @param covered - time that reports have covered
    * @param least - what one request needs: a request larger than the cap would never be admitted
@@ -144,9 +144,9 @@
   }
 
   /**
-   * Credit for an entry's waiting requests. While there is enough for all waiting requests, each entry gets what it
-   * needs. When there is not, each gets its share, and no less than its first request needs: in smaller pieces, credit
-   * would lie unused at each entry while none can admit a request.
+   * Credit for an entry's waiting requests. While the bucket covers the waiting requests of all entries, each entry gets
+   * what it needs. Otherwise each entry gets its share, and no less than its first request needs: in smaller pieces,
+   * credit would lie unused at each entry while none can admit a request.
    */
   private _forWaiting ({ first, waiting }: UsageRow, now: Ms): number {
     const all = this._waiting(now)
