--- a/packages/decisions/src/lib/batch-slots.ts
+++ b/packages/decisions/src/lib/batch-slots.ts
@@ -17,7 +17,7 @@
  *
  * With many entries and many engines of few batch slots each, an entry sends a request to a given engine only once in
  * many seconds and does not know how full its batch is. Entries that guess leave requests waiting inside full engines
- * while other engines have free batch slots. The entry asks the engine's holder about each request anyhow, so the
+ * while other engines have free batch slots. An entry asks the engine's holder about each request in any case, so the
  * holder assigns the batch slots.
  */
 export class BatchSlots {
--- a/packages/decisions/src/lib/identify-caller.ts
+++ b/packages/decisions/src/lib/identify-caller.ts
@@ -30,8 +30,8 @@
 /**
  * Identifies the caller of a request.
  *
- * A public route requires no key. A request to a public route that carries the key of an organisation all the same counts
- * towards the usage of that organisation; a key that belongs to no organisation is ignored there.
+ * A public route requires no key. A request to a public route that still carries an organisation's key counts towards
+ * that organisation's usage; a key that belongs to no organisation is ignored there.
  *
  * @param table - the configuration in force
  * @param route - route of the request
--- a/packages/decisions/src/lib/usage-pool.ts
+++ b/packages/decisions/src/lib/usage-pool.ts
@@ -10,25 +10,25 @@
   | { readonly kind: 'spent' }
   /** The allocator must be asked. */
   | { readonly kind: 'short' }
-  /** The allocator was asked and will have credit soon: the request waits. */
+  /** The allocator has answered that it will have credit soon: the request waits. */
   | { readonly kind: 'held', readonly retryAfter: Ms }
   /** The allocator has answered that it has no credit for now: the request is refused. */
   | { readonly kind: 'closed', readonly retryAfter: Ms }
 
 /** Time for which credit is asked for ahead of need. */
 const aheadTime: Ms = 700
-/** Share of the credit wanted ahead below which more is asked for. */
+/** More credit is asked for when less than this share of the credit wanted ahead of need is left. */
 const lowShare = 0.5
-/** Credit beyond this multiple of what is wanted ahead is returned. */
+/** Credit beyond this multiple of the credit wanted ahead of need is returned. */
 const surplusFactor = 2
 const demandHalfLife: Ms = 700
 /**
- * Longest wait for which a request is kept waiting, not refused: for a bucket that is empty for a moment only. A caller
- * that is refused comes back no sooner.
+ * Longest wait for credit for which a request is queued and not refused. It bridges a bucket that is empty for a moment;
+ * a caller that is refused would not come back any sooner.
  */
 const maxCreditWait: Ms = 150
 /**
- * The same just after the start of a process. All entries may have started together; then all buckets are empty and all
+ * Longest wait for credit just after the start of the process. All entries may have started together; then all buckets are empty and all
  * callers return at once, and the credit that they need accrues within about a second.
  */
 const maxCreditWaitAtStart: Ms = 800
--- a/packages/decisions/src/test/adapter-plan.feature
+++ b/packages/decisions/src/test/adapter-plan.feature
@@ -47,7 +47,7 @@
     Then of the orders of 60 load requests for adapters whose loads take 400 ms none is refused
 
   Scenario: a load whose answers are all lost
-    An engine has one adapter slot less until its next failure, and its holder is busy without any effect. This happens when
+    An engine has one adapter slot less until some other fault occurs, and its holder is busy without any effect. This happens when
     the engine accepts an order, no answer to it or its repeats arrives, a report shows the adapter as loading, and the time
     of the order is unknown: the pause until the engine is asked about the load again is then infinite.
     Given an engine that accepts the load order for an adapter, with all its answers lost
