--- a/packages/decisions/src/lib/relay-flow.ts
+++ b/packages/decisions/src/lib/relay-flow.ts
@@ -103,7 +103,7 @@
   readonly unreachable = new Set<string>()
   sends = 0
   /** Refusals for lack of the adapter. */
-  adapterMissingRefusals = 0
+  missing = 0
   /** The upstream that has the request now. */
   current: string | undefined
   /** The upstream to retry at, which lacked the adapter only for a moment. */
@@ -115,7 +115,7 @@
   /** Whether part of an answer was sent to the caller. */
   begun = false
   /** Whether the request is quarantined, and only its current upstream may still answer it. */
-  quarantined = false
+  held = false
   /** Whether an upstream's own error has arrived, to be delivered if no other upstream answers. */
   holdsError = false
 
@@ -205,9 +205,9 @@
 }
 
 function handleRefused (upstream: string, refusal: UpstreamRefusal, request: RelayRequest, progress: Progress): Transition {
-  if (refusal === 'adapter-missing' && ++progress.adapterMissingRefusals <= maxAdapterMissingRetries) {
+  if (refusal === 'adapter-missing' && ++progress.missing <= maxAdapterMissingRetries) {
     progress.retryUpstream = upstream
-    return continueWith([{ kind: 'wait', delay: adapterRetryPause * progress.adapterMissingRefusals }])
+    return continueWith([{ kind: 'wait', delay: adapterRetryPause * progress.missing }])
   }
   return placeElsewhere(request, progress, 'refused')
 }
@@ -247,7 +247,7 @@
  * answer is of use to the caller.
  */
 function handleQuarantined (request: RelayRequest, progress: Progress): Transition {
-  progress.quarantined = true
+  progress.held = true
   if (progress.current !== undefined && request.kind === 'non-idempotent') return continueWith([])
   if (progress.current !== undefined) progress.mayHaveRun = true
   return endWith([...abandon(request, progress), ...giveUp(progress, 'quarantined')])
@@ -280,7 +280,7 @@
   progress.current = undefined
   progress.retryUpstream = undefined
   const next = handleExchangeEnd(msg, current!, request, progress)
-  if (progress.quarantined && !next.over) return endWith(giveUp(progress, 'quarantined'))
+  if (progress.held && !next.over) return endWith(giveUp(progress, 'quarantined'))
   return isPlacing ? dropPlacing(next) : next
 }
 
--- a/packages/decisions/src/test/adapter-plan.steps.ts
+++ b/packages/decisions/src/test/adapter-plan.steps.ts
@@ -21,7 +21,9 @@
   /** @param loadTime - ms */
   constructor (readonly loadTime = 250) {}
 
-  readonly loaded = new Map<string, number>()
+  /** Loaded adapters. */
+  readonly held = new Map<string, number>()
+  /** Time at which the load of each adapter in transit ends. */
   readonly coming = new Map<string, number>()
   orders = 0
   conflicts = 0
@@ -37,14 +39,14 @@
       this.conflicts++
       return 'conflict'
     }
-    if (kind === 'load' && this.loaded.has(adapter)) return 'holds'
+    if (kind === 'load' && this.held.has(adapter)) return 'holds'
     this.orders++
     if (kind === 'unload') {
-      this.loaded.delete(adapter)
+      this.held.delete(adapter)
       return 'holds'
     }
     this.coming.set(adapter, now + this.loadTime)
-    this.maxOccupied = Math.max(this.maxOccupied, this.loaded.size + this.coming.size)
+    this.maxOccupied = Math.max(this.maxOccupied, this.held.size + this.coming.size)
     this.maxInTransit = Math.max(this.maxInTransit, this.coming.size)
     return 'accepted'
   }
@@ -52,7 +54,7 @@
   report (now: number): EngineReport {
     this._completeLoads(now)
     return {
-      models: [{ model, version: 1, adapters: [...this.loaded.keys()].map(adapter => ({ adapter, version: 1 })) }],
+      models: [{ model, version: 1, adapters: [...this.held.keys()].map(adapter => ({ adapter, version: 1 })) }],
       coming: [...this.coming.keys()].map(adapter => ({ model, adapter, version: 1 })),
       busy: false,
       orders: this.orders,
@@ -65,7 +67,7 @@
     for (const [adapter, at] of this.coming) {
       if (at > now) continue
       this.coming.delete(adapter)
-      this.loaded.set(adapter, 1)
+      this.held.set(adapter, 1)
     }
   }
 }
--- a/packages/decisions/src/test/engine-assignment.steps.ts
+++ b/packages/decisions/src/test/engine-assignment.steps.ts
@@ -115,7 +115,7 @@
   private readonly _stoppedAt = new Map<string, number>()
   private readonly _lastHolder = new Map<string, string>()
   /** Time of each entry as holder, by engine. */
-  readonly periods = new Map<string, HolderPeriod[]>()
+  readonly holds = new Map<string, HolderPeriod[]>()
   private _now = 0
 
   constructor (engines: number, entries: number) {
@@ -127,7 +127,7 @@
   pass (until: number): void {
     for (; this._now < until; this._now += tick) {
       for (const engine of this._assignment.engines) if (!this._assignment.holders.has(engine)) this._claim(engine)
-      for (const engine of this._assignment.holders.keys()) this.periods.get(engine)!.at(-1)!.until = this._now
+      for (const engine of this._assignment.holders.keys()) this.holds.get(engine)!.at(-1)!.until = this._now
       for (const entry of this._assignment.entries) this._handOver(entry)
     }
   }
@@ -159,7 +159,7 @@
       (this._lastHolder.get(engine) === entry || this._cooldowns.get(entry)!.mayReclaim(engine, this._now)))
     if (claimant === undefined) return
     this._assignment.holders.set(engine, claimant)
-    this.periods.set(engine, [...this.periods.get(engine) ?? [], { entry: claimant, from: this._now, until: this._now }])
+    this.holds.set(engine, [...this.holds.get(engine) ?? [], { entry: claimant, from: this._now, until: this._now }])
   }
 
   private _handOver (entry: string): void {
@@ -178,7 +178,7 @@
       simulation.toggle(`entry-${entry}`)
       simulation.pass(now += after * tick)
     }
-    for (const periods of simulation.periods.values()) assertNoReturnWithinTurn(periods)
+    for (const periods of simulation.holds.values()) assertNoReturnWithinTurn(periods)
   }), propertyOptions)
 })
 
--- a/packages/decisions/src/test/relay-flow.steps.ts
+++ b/packages/decisions/src/test/relay-flow.steps.ts
@@ -62,7 +62,8 @@
     return msg.kind === 'waited' ? this._pausing : this._placing
   }
 
-  onMessage (msg: RelayMessage): void {
+  /** Records a message that the flow has received. */
+  heard (msg: RelayMessage): void {
     if (msg.kind === 'waited') this._pausing = false
     if (msg.kind === 'placed' || msg.kind === 'unplaced' || msg.kind === 'moves-again') this._placing = false
     // A silent upstream that the request moves away from may have run it.
@@ -117,7 +118,7 @@
   for (const msg of list) {
     if (observer.final !== undefined) break
     if (!observer.isPossible(msg)) continue
-    observer.onMessage(msg)
+    observer.heard(msg)
     step = flow.next(msg)
     for (const effect of step.value ?? []) observer.onEffect(effect)
   }
--- a/packages/decisions/src/test/request-quarantine.steps.ts
+++ b/packages/decisions/src/test/request-quarantine.steps.ts
@@ -133,11 +133,11 @@
 Then('the request is not quarantined', function (this: QuarantineWorld) { assert.ok(!this.quarantine.holds(repeatedRequest, this.now)) })
 
 When('{int} streams of {int} s each run at {int} engines for {int} s, for {int} seeds, and one of them terminates each engine that runs it', function (this: QuarantineWorld, streams: number, streamSeconds: number, engines: number, seconds: number, seeds: number) {
-  this.simulations = Array.from({ length: seeds }, (_, seed) => simulateTerminations({ streams, meanStreamTime: streamSeconds * 1_000, engines, length: seconds * 1_000, seed: seed + 1 }))
+  this.simulations = Array.from({ length: seeds }, (_, seed) => simulateTerminations({ streams, lasts: streamSeconds * 1_000, engines, length: seconds * 1_000, seed: seed + 1 }))
 })
 
 Then('{int} engines terminate in each simulation, and a harmless stream is quarantined in one simulation of ten at most', function (this: QuarantineWorld, terminations: number) {
-  assert.deepEqual(this.simulations.map(result => result.terminations), this.simulations.map(() => terminations))
-  const withHarmless = this.simulations.filter(({ quarantined }) => quarantined > 1).length
+  assert.deepEqual(this.simulations.map(result => result.ends), this.simulations.map(() => terminations))
+  const withHarmless = this.simulations.filter(({ held }) => held > 1).length
   assert.ok(withHarmless <= this.simulations.length / 10, `${withHarmless} of ${this.simulations.length}`)
 })
--- a/packages/decisions/src/test/support/termination-simulation.ts
+++ b/packages/decisions/src/test/support/termination-simulation.ts
@@ -11,7 +11,7 @@
   /** Streams open at any time. */
   readonly streams: number
   /** Mean time of a stream in ms. */
-  readonly meanStreamTime: Ms
+  readonly lasts: Ms
   readonly engines: number
   readonly length: Ms
   readonly seed: number
@@ -19,9 +19,10 @@
 
 /** Result of a simulation. */
 export interface TerminationResult {
-  readonly terminations: number
+  /** Number of terminations of engines. */
+  readonly ends: number
   /** Number of different requests that were quarantined. */
-  readonly quarantined: number
+  readonly held: number
 }
 
 /** One stream: its request, its engine, and the times of its start there and of its end. */
@@ -37,8 +38,8 @@
 /** The engines, their streams and the quarantine. */
 class TerminationSimulation {
   /** Requests that were quarantined. */
-  readonly quarantined = new Set<string>()
-  terminations = 0
+  readonly held = new Set<string>()
+  ends = 0
   private readonly _rng
   private readonly _quarantine = new RequestQuarantine({ after: 3, holdTime: 600_000 })
   private readonly _backAt: Ms[]
@@ -70,7 +71,7 @@
 
   /** Terminates an engine; its streams move to others. */
   private _terminate (engine: number, now: Ms): void {
-    this.terminations++
+    this.ends++
     this._backAt[engine] = now + restartTime
     this._recordTermination(terminatingRequest, engine, now)
     for (const [n, stream] of this._streams.entries()) {
@@ -81,11 +82,11 @@
   }
 
   private _recordTermination (request: string, engine: number, now: Ms): void {
-    if (this._quarantine.recordTermination(request, { upstream: `u${engine}`, at: now }, now) && this._quarantine.hold(request, now)) this.quarantined.add(request)
+    if (this._quarantine.recordTermination(request, { upstream: `u${engine}`, at: now }, now) && this._quarantine.hold(request, now)) this.held.add(request)
   }
 
   private _startStream (now: Ms): Stream {
-    const until = now + this._load.meanStreamTime * (0.5 + uniformFloat64(this._rng))
+    const until = now + this._load.lasts * (0.5 + uniformFloat64(this._rng))
     return { request: `stream-${this._streamCount++}`, engine: this._pick(this._load.engines), since: now, until }
   }
 
@@ -99,5 +100,5 @@
     simulation.completeStreams(now)
     if (now % repeatInterval === 0) simulation.sendTerminatingRequest(now)
   }
-  return { terminations: simulation.terminations, quarantined: simulation.quarantined.size }
+  return { ends: simulation.ends, held: simulation.held.size }
 }
