--- a/packages/decisions/src/test/adapter-plan.feature
+++ b/packages/decisions/src/test/adapter-plan.feature
@@ -1,5 +1,5 @@
 Feature: load and unload orders for one engine
-  Each scenario plays orders and answers against a small simulated engine that fails as real engines do.
+  Each scenario runs a plan against a small simulated engine that loses and delays orders and answers as real engines do.
 
   Scenario: orders without an answer, late orders and restarts
     An engine that is ordered to load more adapters than it has slots crashes with all its requests. This happens when an
@@ -30,8 +30,8 @@
 
   Scenario: an overloaded weight store
     Callers wait for rare adapters while an adapter that many requests wait for is not loaded. This happens when loads
-    are ordered by age alone. The store serves 8 loads at once; of 60 requests a second one in five is for the same
-    adapter.
+    are ordered by age alone. The store serves 8 loads at once; 60 requests arrive per second, and one in five of them is
+    for the same adapter.
     Then the adapter that most requests wait for is loaded among the first four
 
   Scenario: a new version while requests run on the old one
@@ -47,7 +47,7 @@
     Then of the orders of 60 load requests for adapters whose loads take 400 ms none is refused
 
   Scenario: a load whose answers are all lost
-    An engine has one adapter slot less until its next failure, and its holder is busy without any effect. This happens when
+    An engine has one adapter slot less until some other fault occurs, and its holder is busy without any effect. This happens when
     the engine accepts an order, no answer to it or its repeats arrives, a report shows the adapter as loading, and the time
     of the order is unknown: the pause until the engine is asked about the load again is then infinite.
     Given an engine that accepts the load order for an adapter, with all its answers lost
--- a/packages/decisions/src/test/adapter-plan.steps.ts
+++ b/packages/decisions/src/test/adapter-plan.steps.ts
@@ -1,5 +1,5 @@
 /**
- * Plays load requests against the plan of one engine, with an engine that loses and delays orders.
+ * Runs load requests against the plan of one engine, with a simulated engine that loses and delays orders.
  */
 import assert from 'node:assert/strict'
 import { Given, Then, When } from '@cucumber/cucumber'
@@ -16,12 +16,14 @@
   return { slots: 32, weightsMb: 10_000, adapterSlots, loadsPerSecond: 4, models: [{ name: model, weightsMb: 1_000, adapterMb: 10, adapters: 100 }] }
 }
 
-/** A simulated engine that counts orders, and refuses an order whose sender knew of fewer. */
+/** A simulated engine that counts orders, and refuses an order that names another count. */
 class SimulatedEngine {
   /** @param loadTime - ms */
   constructor (readonly loadTime = 250) {}
 
+  /** Loaded adapters. */
   readonly held = new Map<string, number>()
+  /** Time at which the load of each adapter in transit ends. */
   readonly coming = new Map<string, number>()
   orders = 0
   conflicts = 0
@@ -79,7 +81,7 @@
   fates: fc.array(fc.constantFrom<OrderFate>('answered', 'answered', 'answered', 'lost-before', 'lost-after', 'late'), { minLength: 5, maxLength: 40 })
 })
 
-/** Plays all load requests. An order's fate decides whether the order arrives, and whether its answer does. */
+/** Simulates all load requests. An order's fate decides whether the order arrives, and whether its answer does. */
 function simulate ({ requests, fates }: Simulation, loadTime?: number): SimulatedEngine {
   const engine = new SimulatedEngine(loadTime)
   const plan = new AdapterPlan(specOf(4))
--- a/packages/decisions/src/test/support/termination-simulation.ts
+++ b/packages/decisions/src/test/support/termination-simulation.ts
@@ -19,6 +19,7 @@
 
 /** Result of a simulation. */
 export interface TerminationResult {
+  /** Number of terminations of engines. */
   readonly ends: number
   /** Number of different requests that were quarantined. */
   readonly held: number
@@ -36,6 +37,7 @@
 
 /** The engines, their streams and the quarantine. */
 class TerminationSimulation {
+  /** Requests that were quarantined. */
   readonly held = new Set<string>()
   ends = 0
   private readonly _rng
