--- a/packages/direct/src/lib/adapter-directory.ts
+++ b/packages/direct/src/lib/adapter-directory.ts
@@ -1,5 +1,5 @@
 /**
- * Knows where adapters are usable, and requests loads of them from engines' holders.
+ * Tracks where adapters are usable, and requests loads of adapters from the engines' holders.
  */
 import type { Clock, Log, Ms } from '@hazelford/core'
 import { type AdapterPresence, type RequestedAdapter, requestedAdapterKey } from '@hazelford/decisions'
@@ -17,7 +17,7 @@
  */
 const notHeldSkip: Ms = 500
 
-/** Longest wait of one call to a holder. A dead holder is not noticed sooner than this. */
+/** Longest wait of one call to a holder. A holder that has crashed is noticed only after this time. */
 const requestTimeout: Ms = 400
 
 /** An adapter that a request needs. */
@@ -80,7 +80,7 @@
   presence (upstream: Upstream, want: RequestedAdapter): AdapterPresence {
     if (this._reservation(upstream.id, want) !== undefined) return 'loaded'
     if (this.canRequestLoad(upstream.id)) return upstream.wasRecentlyLoaded(requestedAdapterKey(want), want.version) ? 'recent' : 'loadable'
-    return this._listed(upstream, want) ? 'loaded' : 'unavailable'
+    return this._isListed(upstream, want) ? 'loaded' : 'unavailable'
   }
 
   private _reservation (upstream: string, want: RequestedAdapter): AdapterReservation | undefined {
@@ -98,7 +98,7 @@
   }
 
   /** Whether the upstream's own record lists the adapter. Records lag, but stay available through an outage of the store. */
-  private _listed ({ record }: Upstream, want: RequestedAdapter): boolean {
+  private _isListed ({ record }: Upstream, want: RequestedAdapter): boolean {
     const model = record.models.find(loaded => loaded.model === want.model)
     if (model === undefined) return false
     if (want.adapter === undefined) return true
@@ -116,23 +116,24 @@
   /**
    * Makes sure that an adapter is usable at an upstream.
    *
-   * @param upstream - where
+   * @param upstream - where it is needed
    * @param query - the adapter, and the longest wait for it
-   * @returns the version to expect there
+   * @returns whether the adapter is usable there, and in which version
    */
   async ensure (upstream: Upstream, query: EnsureQuery): Promise<LoadRequestOutcome> {
     if (this.canRequestLoad(upstream.id)) return this._requestFromHolder(upstream, query)
-    // No holder can be reached: the last reservation or record is the best information there is.
+    // No holder can be reached, so the last reservation or the upstream's record has to decide.
     const { want, missing } = query
     const reservation = this._reservation(upstream.id, want)
     if (!missing && reservation !== undefined) return { kind: 'ready', ...reservation }
-    return !missing && this._listed(upstream, want)
+    return !missing && this._isListed(upstream, want)
       ? { kind: 'ready', until: this._clock.now(), version: want.version }
       : { kind: 'unavailable', cause: 'nobody orders this engine' }
   }
 
   /**
-   * Reports to a holder which adapters this entry still uses, when no load request has carried that report lately.
+   * Reports to an engine's holder which adapters this entry still uses there, when no load request has carried that
+   * report lately.
    *
    * An entry without new requests would otherwise keep its last adapters in their slots for seconds after its requests
    * have ended, while requests of other entries wait for the slots.
--- a/packages/direct/src/lib/engine-admission.ts
+++ b/packages/direct/src/lib/engine-admission.ts
@@ -6,7 +6,7 @@
 
 /** What is known of an engine's load. */
 export interface EngineLoad {
-  /** Requests that are running there or wait for admission. */
+  /** Number of requests that are running at the engine or wait for admission. */
   readonly running: number
   /** Prompt tokens that the engine has yet to read. */
   readonly promptBacklog: number
@@ -25,14 +25,17 @@
 
 /** Longest time between two checks of the queue while a batch slot is free. */
 const longestCheckPause: Ms = 20
-/** The same while no batch slot is free: entries report ended requests, so only a lost report has to be found by time. */
+/**
+ * Longest time between two checks of the queue while no batch slot is free. Entries report ended requests, so these
+ * checks only have to make up for lost reports.
+ */
 const longestFullCheckPause: Ms = 100
 
 /** Admission queue of one engine, by due time and priority. */
 export class EngineAdmission {
   private readonly _throttle = new PromptThrottle()
   private readonly _slots: BatchSlots
-  /** Admits a queued request, by its id in the queue. */
+  /** Callbacks that admit the queued requests, by their ids in the queue. */
   private readonly _waiting = new Map<string, () => void>()
   private _timer: CancelTimer | undefined
 
@@ -49,26 +52,26 @@
     return { running: this._slots.running(now) + this._throttle.waiting, promptBacklog: this._throttle.backlog(now) }
   }
 
-  /** Requests in the queue. */
+  /** Number of requests in the queue. */
   get queued (): number { return this._throttle.waiting }
 
   /** Expected wait of one more request for a batch slot. */
   get slotWait (): Ms { return this._slots.expectedWait(this._throttle.waiting, this._serviceTime(), this._clock.now()) }
 
-  /** Applies an entry's report on its open requests there. */
+  /** Applies an entry's report on the number of its open requests at this engine. */
   note (entry: string, requests: number): void {
     this._slots.note(entry, requests, this._clock.now())
     this._admitDue()
   }
 
-  /** Applies an entry's report on streams that ended there, and how many of them had too long a pause. */
+  /** Applies an entry's report on streams that ended at this engine, and how many of them had too long a pause. */
   recordStreams (streams: number, paused: number): void { this._throttle.adjustSpeed(streams, paused) }
 
   /**
    * Waits until a request can be admitted.
    *
    * @param answerIn - ms after which the wait is given up
-   * @returns whether it was admitted
+   * @returns whether the request was admitted
    */
   admit ({ entry, request, tokens, urgency, dueIn }: AdmissionRequest, answerIn: Ms): Promise<boolean> {
     const id = `${entry} ${request}`
--- a/packages/direct/src/lib/engine-coordinator.ts
+++ b/packages/direct/src/lib/engine-coordinator.ts
@@ -21,6 +21,7 @@
   readonly upstreams: () => Iterable<Upstream>
   readonly engineSpec: (service: string) => EngineSpec | undefined
   readonly control: (upstream: Upstream) => EngineControl
+  /** Records how many ms a load request waited until its adapter was usable. */
   readonly loaded: (took: Ms) => void
   /** Mean service time in ms of a request of a service, 0 when unknown. */
   readonly serviceTime: (service: string) => Ms
@@ -34,12 +35,12 @@
 
 /**
  * How long each further entry in the claim order of an engine waits for the entry before it to claim the engine. A
- * claim takes a few ms, and the other entries receive it within the pause between two watches.
+ * claim takes a few ms, and the other entries learn of it within the pause between two watches of the store.
  */
 const claimStep: Ms = 500
 /**
- * Time after the start in which the other entries register. All entries of a deployment start within 0.3 s; one that
- * claimed at once would become the holder of every engine.
+ * Time after the start before the first claim, in which the other entries register. All entries of a deployment start
+ * within 0.3 s; an entry that claimed at once would become the holder of every engine.
  */
 const defaultSettleTime: Ms = 900
 /**
@@ -47,9 +48,9 @@
  * before the engine is handed over. An entry that stops takes about this long to leave the store.
  */
 const handoverMargin: Ms = 1_000
-/** Pause between two handovers: all entries must receive one before the next is decided. */
+/** Pause between two handovers: all entries must have learned of a handover before the next one is decided. */
 const handoverPause: Ms = 1_000
-/** Keys that one transaction may name. */
+/** Largest number of engines claimed at once: the store limits the keys of one transaction. */
 const claimsAtOnce = 16
 
 /** Claims, holds, releases and hands over engines for one entry. */
@@ -87,14 +88,14 @@
   /** Requests an adapter of the holder in this entry; undefined when this entry does not hold the engine. */
   requestLoad (upstream: string, request: LoadRequest): Promise<LoadRequestOutcome> | undefined { return this._holders.get(upstream)?.requestLoad(request) }
 
-  /** Loads a new version on every engine held here that has an older one. */
+  /** Loads a new version of an adapter on every engine that this entry holds and that has an older one loaded. */
   prefetch (want: RequestedAdapter): void {
     for (const holder of this._holders.values()) {
       if (want.adapter !== undefined && holder.holds(want.model, want.adapter)) holder.prefetch(want)
     }
   }
 
-  /** Releases all engines, since the lease ended: other entries may become their holders from now on. */
+  /** Releases all engines after the lease has ended: other entries may become their holders from now on. */
   releaseAll (): void {
     for (const [id, holder] of this._holders) this._removeHolder(id, holder)
   }
@@ -105,12 +106,12 @@
     this.releaseAll()
   }
 
-  /** An engine has restarted under its id: it has no adapters loaded and counts orders from 0 again. */
+  /** Notifies the holder of an engine that has restarted under its id: it has no adapters loaded and counts orders from 0 again. */
   restarted (upstream: Upstream): void {
     this._holders.get(upstream.id)?.restart(upstream.record.startedAt, this._options.control(upstream))
   }
 
-  /** Compares the engines held with the store after a short delay, so that changes that arrive together cause one run. */
+  /** Compares the engines held here with the store after a short delay, so that changes that arrive together are handled in one run. */
   scheduleReconcile (): void {
     if (this._timer !== undefined) return
     this._timer = this._options.clock.after(20, () => {
@@ -166,8 +167,8 @@
   }
 
   /**
-   * Hands an engine over once no order of this entry is in progress there, so that the next holder's orders come after
-   * all of this entry's.
+   * Hands an engine over once none of this entry's orders to it is in progress, so that the next holder's orders come
+   * after all of them.
    */
   private async _handOver (upstream: string, to: string): Promise<void> {
     const { store, log } = this._options
@@ -182,7 +183,7 @@
     log.info('loads', 'engine handed over.', { upstream, fence: holder.fence, to, outcome: outcome.isOk() ? outcome.value.kind : outcome.error.message })
   }
 
-  /** Releases engines that are leaving or gone, and those that another entry holds by now. */
+  /** Releases engines that leave or are gone, and those that another entry has claimed since. */
   private _releaseLost (): void {
     const { peers } = this._options
     const running = new Set([...this._options.upstreams()].filter(({ record }) => record.state === 'ready').map(({ id }) => id))
@@ -205,7 +206,7 @@
     for (const upstream of this._engines()) {
       if (this._holders.has(upstream.id)) continue
       const holder = peers.holder(upstream.id)
-      // The key is of an earlier incarnation of this entry, so no other entry sends orders to this engine.
+      // An earlier incarnation of this entry wrote the key, so no other entry sends orders to this engine.
       const isOwn = holder?.node === self.node
       if (holder !== undefined && (!isOwn || this._handedOverFences.get(upstream.id) === holder.fence)) continue
       seen.add(upstream.id)
@@ -257,10 +258,10 @@
   /**
    * Notifies the former holder of an engine before the first order of this entry.
    *
-   * The store may remove the keys of an entry whose calls it rejects long before that entry's lease would have ended.
-   * The entry keeps sending orders; they reach the engine after the new holder's with a lower fencing number, and
-   * engines that do not check it load for both. The entry cannot read the store, but in most cases it can be reached
-   * by its peers.
+   * When the store rejects the calls of an entry, it may remove that entry's keys long before the entry's lease would
+   * have ended. The former holder then keeps sending orders. They reach the engine after the new holder's orders, with
+   * a lower fencing number, and an engine that does not check fencing numbers carries out the orders of both. The former
+   * holder cannot read the store, but in most cases its peers can reach it.
    */
   private async _notifyFormerHolder (upstream: string, fence: number): Promise<void> {
     const { peers, self, log, notifyTakeover } = this._options
--- a/packages/direct/src/lib/engine-holder.ts
+++ b/packages/direct/src/lib/engine-holder.ts
@@ -12,7 +12,7 @@
 export type UnavailableCause =
   /** Every adapter slot is in use; one becomes free once requests have ended. */
   | 'every slot is in use'
-  /** Its batch is full and other requests wait for a batch slot. */
+  /** The engine's batch is full and other requests wait for a batch slot. */
   | 'every place is in use'
   /** The engine does not answer its holder. */
   | 'the engine does not answer'
@@ -23,14 +23,14 @@
   | 'its holder does not answer'
   | 'nobody orders this engine'
 
-/** A holder's answer to a load request: the adapter is usable, will be, or is not available here now. */
+/** A holder's answer to a load request: the adapter is usable, is being loaded, or is not available at this engine now. */
 export type LoadRequestOutcome = LoadRequestAnswer & { readonly news?: RecentLoadsUpdate }
 
 type LoadRequestAnswer =
   /** `atDoor`: ms of this call that the prompt waited for admission after its adapter was loaded. */
   | Readiness & { readonly kind: 'ready', readonly load?: EngineLoad, readonly atDoor?: Ms }
   | { readonly kind: 'coming', readonly atDoor?: Ms }
-  /** `line`: adapters that wait for an adapter slot there already, or requests that wait for a batch slot. */
+  /** `line`: number of adapters that already wait for an adapter slot there, or of requests that wait for a batch slot. */
   | { readonly kind: 'unavailable', readonly cause: UnavailableCause, readonly line?: number, readonly load?: EngineLoad }
 
 /** What an entry requests of a holder. */
@@ -38,7 +38,7 @@
   readonly want: RequestedAdapter
   /** Priority; 0 is the most urgent. */
   readonly urgency: number
-  /** Longest wait of the request in ms, beyond this call too. */
+  /** Longest time in ms that the request may still wait, in this call and in later ones. */
   readonly patience: Ms
   /** Ms after which this call must be answered. */
   readonly answerIn: Ms
@@ -48,15 +48,15 @@
   readonly mayWait: boolean
   /** Whether the same request was sent to this holder before. */
   readonly repeated: boolean
-  /** Name of the entry that sends it. */
+  /** Name of the entry that sends the load request. */
   readonly entry: string
   /** `model/adapter` of each adapter that the entry's open requests use at this engine. */
   readonly uses: readonly string[]
-  /** The entry's open requests there. */
+  /** Number of the entry's open requests at this engine. */
   readonly outstanding: number
   /** The request's prompt, to be admitted when the engine can read it; undefined requests the adapter alone. */
   readonly prompt?: { readonly request: string, readonly tokens: number, readonly dueIn: Ms }
-  /** Streams that ended there since the entry's last report, and how many of them had a pause above the route's target. */
+  /** Streams that ended at this engine since the entry's last report, and how many of them had a pause above the route's target. */
   readonly streams: number
   readonly paused: number
   /** Number of recent loads of the engine that the entry has received; see {@link RecentLoads}. */
@@ -86,6 +86,7 @@
   readonly backoffUntil: () => Ms
   /** Mean service time of a request in ms, 0 when unknown. */
   readonly serviceTime: () => Ms
+  /** Records how many ms a load request waited until its adapter was usable. */
   readonly loaded: (took: Ms) => void
 }
 
@@ -98,7 +99,7 @@
 
 /** How long the prefetch of a new version may wait for a moment without requests on the old one. */
 const prefetchWait: Ms = 4_000
-/** How often a holder that finishes checks whether its last order was answered. */
+/** How often {@link EngineHolder.finish} checks whether the last order was answered. */
 const finishPoll: Ms = 5
 /** Pause before an order or a report is retried, also while the lease may have ended. */
 const retryPause: Ms = 200
@@ -118,7 +119,7 @@
   private _admission: EngineAdmission
   private _busy = false
   private _released = false
-  private _wake: (() => void) | undefined
+  private _cancelSleep: (() => void) | undefined
 
   constructor (private readonly _options: EngineHolderOptions) {
     this.heldSince = _options.clock.now()
@@ -202,15 +203,15 @@
     this._runPlan()
   }
 
-  /** Whether an adapter occupies a slot, in whichever version. */
+  /** Whether any version of an adapter occupies an adapter slot. */
   holds (model: string, adapter: string): boolean { return this._plan.hasAdapterSlot(model, adapter) }
 
   /**
    * Resets the plan after the engine has restarted.
    *
-   * The plan describes the former incarnation. With it, requests would be sent for adapters that are no longer loaded,
-   * and orders numbered by the former incarnation's count would be refused. Orders in progress at the former
-   * incarnation do not affect the new plan.
+   * The plan describes the former incarnation. If it were kept, requests would be sent for adapters that are no longer
+   * loaded, and the engine would refuse orders numbered by the former incarnation's count. Orders in progress at the
+   * former incarnation do not affect the new plan.
    *
    * @param startedAt - of the new incarnation
    * @param control - of the new incarnation
@@ -228,20 +229,20 @@
     this._runPlan()
   }
 
-  /** The engine has asked to back off: answers all requests that would need an order to it. */
+  /** Answers all waiting load requests with the engine's backoff, since no order may be sent to the engine until the backoff ends. */
   startBackoff (): void {
     for (const waiter of [...this._waiters]) this._settle(waiter, backoffAnswer)
   }
 
-  /** Stops sending orders. */
+  /** Stops sending orders, and answers all waiting load requests that this entry does not hold the engine. */
   release (): void {
     this._released = true
     this._liveness.stop()
-    this._wake?.()
+    this._cancelSleep?.()
     for (const waiter of [...this._waiters]) this._settle(waiter, { kind: 'unavailable', cause: 'not held here' })
   }
 
-  /** Stops sending orders; resolves once none is in progress. */
+  /** Stops sending orders; resolves once no order is in progress. */
   async finish (): Promise<void> {
     this.release()
     while (this._busy) await sleep(this._options.clock, finishPoll)
@@ -266,7 +267,7 @@
   /** Carries out the plan until its next action is due later. */
   private _runPlan (): void {
     if (this._busy || this._released) return
-    this._wake?.()
+    this._cancelSleep?.()
     const { clock } = this._options
     const now = clock.now()
     const action = this._plan.nextAction(now)
@@ -299,25 +300,25 @@
 
   private _sleep (delay: Ms): void {
     const cancel = this._options.clock.after(Math.max(1, delay), () => {
-      this._wake = undefined
+      this._cancelSleep = undefined
       if (this._busy) this._answerWaiters()
       else this._runPlan()
     })
-    this._wake = () => {
+    this._cancelSleep = () => {
       cancel()
-      this._wake = undefined
+      this._cancelSleep = undefined
     }
   }
 
   private async _execute (action: PlanAction & { readonly kind: 'load' | 'unload' | 'report' }): Promise<void> {
-    if (action.kind === 'report') await this._report()
-    else await this._order(action)
+    if (action.kind === 'report') await this._fetchReport()
+    else await this._sendOrder(action)
   }
 
-  private async _report (): Promise<void> {
+  private async _fetchReport (): Promise<void> {
     const { clock, log, upstream } = this._options
     const plan = this._plan
-    const askedAt = clock.now()
+    const requestedAt = clock.now()
     const report = await this._control.report()
     if (plan !== this._plan) return
     if (report.isErr()) {
@@ -335,11 +336,11 @@
       return
     }
     const held = models.reduce((sum, { adapters }) => sum + adapters.length, 0)
-    log.info('loads', 'report applied.', { upstream, orders, counted: this._plan.orders, held, coming: coming.length, took: Math.round(clock.now() - askedAt) })
-    plan.applyReport(report.value, askedAt)
+    log.info('loads', 'report applied.', { upstream, orders, counted: this._plan.orders, held, coming: coming.length, took: Math.round(clock.now() - requestedAt) })
+    plan.applyReport(report.value, requestedAt)
   }
 
-  private async _order (action: PlanAction & { readonly kind: 'load' | 'unload' }): Promise<void> {
+  private async _sendOrder (action: PlanAction & { readonly kind: 'load' | 'unload' }): Promise<void> {
     const { clock, fence, node } = this._options
     const plan = this._plan
     const control = this._control
--- a/packages/direct/src/lib/placer.ts
+++ b/packages/direct/src/lib/placer.ts
@@ -21,13 +21,13 @@
   readonly patience: Ms
   /** The request's prompt, and when its first event is due. */
   readonly prompt: { readonly request: string, readonly tokens: number, readonly dueAt: Ms }
-  /** Whether the request no longer needs a place. */
+  /** Whether the request no longer needs an upstream. */
   readonly cancelled: () => boolean
 }
 
 /** What a request waited for before it could be sent. */
 export interface PlacementWaits {
-  /** Ms until its adapter was loaded: for an adapter slot and for the load. */
+  /** Ms until its adapter was loaded: the wait for an adapter slot, and the load. */
   readonly adapter: Ms
   /** Ms of the admission wait, until the engine could read its prompt. */
   readonly admissionWait: Ms
@@ -37,29 +37,29 @@
 export type Placement =
   /** `refund` returns what was taken of the upstream's limit, when no request has reached the upstream. */
   | { readonly kind: 'placed', readonly upstream: Upstream, readonly version: number | undefined, readonly waits?: PlacementWaits, readonly refund: () => void }
-  /** `retryAfter`: ms until a place can be expected, where that is known. */
+  /** `retryAfter`: ms until an upstream can be expected to accept the request, where that is known. */
   | { readonly kind: 'unplaced', readonly cause: UnplacedCause, readonly retryAfter?: Ms }
 
-/** Upstreams with every adapter slot in use that are tried before a request queues for a slot. */
+/** Number of upstreams with every adapter slot in use that are tried before a request queues for an adapter slot. */
 const maxQueues = 3
-/** Upstreams tried at all, including those without a holder now. */
+/** Number of upstreams tried for one request, including those without a holder now. */
 const maxTried = 8
-/** Weight of an engine's latency in the ranking: first events are late for many reasons that pass, but a lasting difference still counts. */
+/** Weight of an engine's latency in the ranking. Less than 1, since first events are late for many temporary reasons; a lasting difference still counts. */
 const engineLatencyShare = 0.5
-/** Pause after an answer that came at once, so that waiting in a queue is not a busy loop. */
+/** Pause between two attempts of a queued request: a holder may answer at once, and without a pause the attempts would be a busy loop. */
 const queuePause: Ms = 100
 /** Half-life of an adapter's popularity: how fast a change of demand changes its number of replicas. */
 const popularityHalfLife: Ms = 5_000
 /** Weight of each new service time in the mean, so that about thirty requests determine it. */
 const serviceTimeWeight = 0.05
 /** Requests counted before an adapter's share of them is used. */
-const minSeen = 20
-/** Callers refused during a backoff are asked to return over this time, so that they don't return together. */
+const minRequestsCounted = 20
+/** Time over which the returns of callers refused during a backoff are spread, so that they don't return together. */
 const backoffSpread: Ms = 400
-/** An upstream that is due to leave within this time is sent no more requests. */
+/** An upstream that leaves within this time is sent no more requests. */
 const leavingMargin: Ms = 100
 
-/** An upstream at which a request may queue, and how many adapters wait there already. */
+/** An upstream at which a request may queue, and the number of adapters that already wait there. */
 interface UpstreamQueue { readonly upstream: Upstream, readonly length: number }
 
 /** The result of requesting an adapter of one upstream. */
@@ -68,7 +68,7 @@
   /** `cause`: the holder's answer; undefined when the request has no time left or the upstream is leaving. */
   | { readonly kind: 'not-there', readonly cause?: UnavailableCause, readonly line: number }
 
-/** The same, for an upstream that may announce a limit. */
+/** The result of requesting an adapter of one upstream that may announce a request limit. */
 type Attempt =
   | Placement & { readonly kind: 'placed' }
   | AdapterAttempt & { readonly kind: 'not-there' }
@@ -86,7 +86,7 @@
   readonly entries: () => number
   /** Adapter slots of an engine of a service. */
   readonly adapterSlots: (service: string) => number
-  /** Takes one request from an upstream's limit; synchronous where it announces none. */
+  /** Takes one request from an upstream's limit; synchronous for an upstream that announces no limit. */
   readonly admit: (upstream: Upstream) => Admission | Promise<Admission>
 }
 
@@ -97,10 +97,10 @@
 
 /** Places requests of one entry. */
 export class Placer {
-  private readonly _seen = new DecayedCounter(popularityHalfLife, 20_000)
+  private readonly _popularity = new DecayedCounter(popularityHalfLife, 20_000)
   private readonly _serviceTimes = new Map<string, MovingAverage>()
   private _ranks = new Map<string, ReadonlyMap<string, number>>()
-  private _ranksOf = ''
+  private _rankedIds = ''
 
   constructor (private readonly _options: PlacerOptions) {}
 
@@ -109,8 +109,8 @@
   /** Counts a request for the adapter's popularity. */
   count (service: string, want: RequestedAdapter | undefined): void {
     const now = this._now
-    this._seen.add(service, now)
-    if (want !== undefined) this._seen.add(`${service} ${want.model}/${want.adapter ?? ''}`, now)
+    this._popularity.add(service, now)
+    if (want !== undefined) this._popularity.add(`${service} ${want.model}/${want.adapter ?? ''}`, now)
   }
 
   /** Records the service time of a request at its upstream. */
@@ -120,7 +120,7 @@
     this._serviceTimes.set(service, known)
   }
 
-  /** Mean service time in ms of a service's requests at their upstreams; 0 when none has ended. */
+  /** Mean service time in ms of a service's requests at their upstreams; 0 when no request has ended. */
   serviceTime (service: string): Ms { return this._serviceTimes.get(service)?.value ?? 0 }
 
   async place (query: PlacementQuery): Promise<Placement> {
@@ -141,7 +141,7 @@
     return query.want === undefined ? this._placePlain(ranked) : this._placeAdapter(query, query.want, ranked.slice(0, maxTried))
   }
 
-  /** Gives up without a place; `retryAfter` is when the first upstream in backoff can be tried again, if there is one. */
+  /** The result when no upstream is open; `retryAfter` is the time until the first upstream in backoff can be tried again, if there is one. */
   private _unplaced ({ service, avoid }: PlacementQuery): Placement {
     const backoffs = this._options.members.serving(service).filter(({ id }) => !avoid.has(id)).map(({ notices }) => notices.backoffUntil - this._now)
     const backoff = Math.min(...backoffs.filter(left => left > 0))
@@ -150,7 +150,7 @@
       : { kind: 'unplaced', cause: 'upstream-rest', retryAfter: backoff + Math.random() * backoffSpread }
   }
 
-  /** Takes the first candidate whose limit, if it announces one, leaves room. */
+  /** Places a request at the first candidate that announces no limit or has room within its limit. */
   private async _placePlain (ranked: readonly Upstream[]): Promise<Placement> {
     let retryAfter: Ms = Infinity
     for (const upstream of ranked) {
@@ -166,7 +166,7 @@
     return retryAfter === Infinity ? { kind: 'unplaced', cause: 'no-upstream' } : { kind: 'unplaced', cause: 'upstream-limit', retryAfter }
   }
 
-  /** Takes the first candidate that can provide the adapter, else queues at the one with the shortest queue. */
+  /** Places a request at the first candidate that can provide the adapter, else queues at the candidates in turn, the shortest queue first. */
   private async _placeAdapter (query: PlacementQuery, want: RequestedAdapter, candidates: readonly Upstream[]): Promise<Placement> {
     const startedAt = this._now
     const placed = await this._placeAtOne(query, want, candidates)
@@ -216,8 +216,8 @@
   }
 
   /**
-   * Waits for an adapter at one upstream while it is being loaded there. Requesting it elsewhere meanwhile would load
-   * it twice, and both loads would share the weight store's rate.
+   * Waits for an adapter at one upstream while the adapter is being loaded there. If it were requested at another
+   * upstream meanwhile, it would be loaded twice, and both loads would share the weight store's rate.
    */
   private async _awaitAdapter (upstream: Upstream, query: PlacementQuery, loadQuery: Omit<EnsureQuery, 'patience' | 'prompt'>, until: Ms): Promise<AdapterAttempt> {
     let { missing, repeated } = loadQuery
@@ -230,7 +230,7 @@
       const outcome = await this._options.directory.ensure(upstream, { ...loadQuery, missing, repeated, patience, prompt })
       if (outcome.kind === 'unavailable') return { kind: 'not-there', cause: outcome.cause, line: outcome.line ?? 0 }
       admissionWait += outcome.atDoor ?? 0
-      // The upstream may have announced that it leaves while the request waited.
+      // While the request waited, the upstream may have announced that it leaves.
       if (outcome.kind === 'ready') return this._isOpen(upstream) ? { kind: 'placed', upstream, version: outcome.version, waits: { adapter: 0, admissionWait } } : { kind: 'not-there', line: 0 }
       missing = false
       repeated = true
@@ -246,7 +246,7 @@
 
   private _withRetryFirst ({ retryUpstream: id }: PlacementQuery, ranked: readonly Upstream[]): readonly Upstream[] {
     const upstream = id === undefined ? undefined : this._options.members.get(id)
-    // The upstream that lacked the adapter comes first: the adapter is being loaded there.
+    // The upstream that refused for lack of the adapter comes first: the adapter is being loaded there by now.
     return upstream !== undefined && this._isOpen(upstream) ? [upstream, ...ranked] : ranked
   }
 
@@ -263,7 +263,7 @@
     return this._rank(query, withModel.length > 0 ? withModel : open)
   }
 
-  /** Engines that have the model; loading a model takes longer than any caller waits. */
+  /** Engines that have the model loaded; loading a model takes longer than any caller waits. */
   private _withModel (upstreams: readonly Upstream[], model: string): readonly Upstream[] {
     return upstreams.filter(({ record }) => record.models.some(loaded => loaded.model === model))
   }
@@ -293,9 +293,9 @@
   }
 
   /**
-   * Returns the function that estimates how many requests an upstream has. An engine without a fresh report is assumed
-   * to have the mean of the others: with many entries, each sends there too seldom for its own count to be of use.
-   * Plain services have no holder that counts for all entries.
+   * Returns the function that estimates how many requests of all entries an upstream runs. An engine without a fresh
+   * load report is assumed to run the mean of the others: with many entries, each one sends requests to an engine too
+   * seldom to infer the engine's load from its own count. Plain services have no holder that counts for all entries.
    */
   private _loadEstimate (upstreams: readonly Upstream[], want: RequestedAdapter | undefined, entries: number): (upstream: Upstream) => number {
     if (want === undefined) return upstream => upstream.outstanding * entries
@@ -307,19 +307,19 @@
 
   private _replicas (service: string, want: RequestedAdapter, upstreams: number): number {
     const now = this._now
-    const total = this._seen.read(service, now)
+    const total = this._popularity.read(service, now)
     if (want.adapter === undefined) return upstreams
-    if (total < minSeen) return 1
-    return replicasFor(this._seen.read(`${service} ${want.model}/${want.adapter}`, now) / total, upstreams, this._options.adapterSlots(service))
+    if (total < minRequestsCounted) return 1
+    return replicasFor(this._popularity.read(`${service} ${want.model}/${want.adapter}`, now) / total, upstreams, this._options.adapterSlots(service))
   }
 
   /** Rendezvous ranks of an adapter, cached until the upstreams change. */
   private _ranksFor (adapter: string, upstreams: readonly Upstream[]): ReadonlyMap<string, number> {
     const ids = upstreams.map(({ id }) => id)
     const joined = ids.join()
-    if (joined !== this._ranksOf) {
+    if (joined !== this._rankedIds) {
       this._ranks = new Map()
-      this._ranksOf = joined
+      this._rankedIds = joined
     }
     const known = this._ranks.get(adapter)
     if (known !== undefined) return known
