--- a/packages/direct/src/lib/credit-queue.ts
+++ b/packages/direct/src/lib/credit-queue.ts
@@ -1,5 +1,5 @@
 /**
- * Requests that wait for credit of the accounts that one allocator counts.
+ * Queues requests that wait for credit of the accounts of one allocator.
  */
 import { assertNever, type CancelTimer, type Clock, type Instant, instantOf, type Log, type Ms } from '@hazelford/core'
 import { type UsageGrant, UsagePool, type UsageReport, type UsageRow } from '@hazelford/decisions'
@@ -18,11 +18,11 @@
   readonly node: string
   /** When this process started; it has reported to no allocator before. */
   readonly startedAt: Ms
-  /** Whether any account is limited. */
+  /** Whether to report at regular intervals, that is, while any account has a limit and for a while after. */
   readonly isNeeded: () => boolean
   /** Whether requests wait for credit that is expected soon; else they are refused once the allocator has none. */
   readonly waitsForCredit: boolean
-  /** Reports to the allocator; rejects only for a fault of this entry. */
+  /** Reports to the allocator; rejects only on an error within this entry. */
   readonly report: (report: UsageReport) => Promise<readonly UsageGrant[]>
 }
 
@@ -37,15 +37,15 @@
  * rates depends on that.
  */
 const reportEvery: Ms = 400
-/** Least time between two reports that no request waits for. */
+/** Least time between two reports that are sent because credit is low, while no request waits. */
 const reportPause: Ms = 100
-/** Pause before an allocator without credit is asked again for the requests that wait. */
+/** Pause before waiting requests are reported again to an allocator that had no credit for them. */
 const noCreditPause: Ms = 100
-/** Longest time that a request waits for credit; when the wait would be longer, the allocator's answer says so at once. */
+/** Longest time that a request waits for credit; an allocator that expects a longer wait answers so at once. */
 const longestWait: Ms = 1_000
 /** Shortest time after which a refused caller is asked to return. */
 const minRetryAfter: Ms = 100
-/** Spread of the times at which refused callers are asked to return, as a share of the wait. */
+/** Spread of the times at which refused callers are asked to return, as a share of the wait, so that they don't return together. */
 const retrySpread = 0.5
 
 /** Credit of some accounts at one entry. At most one report is in progress at a time. */
@@ -77,7 +77,7 @@
     for (const { decide } of free) decide({ kind: 'admitted', refund: () => {} })
   }
 
-  /** Takes a request's usage from an account. */
+  /** Takes a request's usage from an account's credit; synchronous unless the request has to wait for credit. */
   admit (account: string, cost: number): Admission | Promise<Admission> {
     const at = this._instant
     const pool = this._pool(account)
@@ -101,7 +101,7 @@
 
   private _wait (account: string, cost: number): Promise<Admission> {
     return new Promise(resolve => {
-      // A report of an entry that is cut off from its peers can take longer than this.
+      // The answer may come later than this: an entry that is cut off from its peers tries several of them in turn.
       const cancel = this._options.clock.after(longestWait, () => {
         this._waiting = this._waiting.filter(other => other !== waiter)
         resolve(this._refused(minRetryAfter))
@@ -129,7 +129,6 @@
     }
   }
 
-  /** The wait is spread, so that callers refused together don't return together. */
   private _refused (wait: Ms): Admission { return { kind: 'over-limit', retryAfter: Math.max(minRetryAfter, wait) * (1 + Math.random() * retrySpread) } }
 
   private get _instant (): Instant { return instantOf(this._options.clock) }
@@ -204,7 +203,11 @@
     this._waiting = this._waiting.filter(waiter => !answered.has(waiter) || !this._decide(waiter, at))
   }
 
-  /** @returns false when the request keeps waiting */
+  /**
+   * Admits or refuses a request by its account's credit.
+   *
+   * @returns false when the request keeps waiting
+   */
   private _decide ({ account, cost, decide }: Waiter, at: Instant): boolean {
     const pool = this._pool(account)
     const spending = pool.spend(cost, at)
--- a/packages/direct/src/lib/notice-coordinator.ts
+++ b/packages/direct/src/lib/notice-coordinator.ts
@@ -1,5 +1,5 @@
 /**
- * Applies the notices that upstreams give in their answers, and holds this entry to them together with the others.
+ * Applies the notices that upstreams give in their answers, and has all entries keep to them together.
  */
 import { assertNever, type Clock, type Log, type Ms } from '@hazelford/core'
 import { type CreditLimit, type NoticeChange, rendezvousOrder, type UsageBounds, type UsageGrant } from '@hazelford/decisions'
@@ -24,7 +24,7 @@
   readonly entries: () => readonly PeerAddress[]
   /** Number of entries that share an upstream's limit. */
   readonly entryCount: () => number
-  /** Called when an upstream has announced that it leaves. */
+  /** Called when an upstream has announced that it will leave. */
   readonly leavingAnnounced: (upstream: Upstream) => void
   /** Called when an upstream has asked this entry to back off. */
   readonly backoffRequested: (upstream: Upstream) => void
@@ -40,19 +40,20 @@
  */
 export const limitBounds: UsageBounds = { window: 4_000, overage: 0.25, slack: 2 }
 /**
- * Least rate at which an upstream is sent requests, also with a limit of 0: its next notice comes only in an answer.
+ * Least rate at which an upstream is sent requests, also with a limit of 0. Notices come only in answers, so an upstream
+ * that is sent no requests could never raise its limit.
  */
 const minRate = 0.05
-/** Time over which the entries that receive a notice of leaving spread their messages to the others. */
+/** Time over which the entries that receive an upstream's notice of leaving spread their messages about it. */
 const notifySpread: Ms = 150
-/** Upstreams in one message. When more have given notices, the others follow in later messages. */
+/** Largest number of upstreams in one message. When more have given notices, each message starts at a random one of them. */
 const maxRows = 200
-/** Pause before an allocator that does not know an upstream yet is asked for it again. */
+/** Pause before credit of an upstream is requested again from an allocator that does not know the upstream yet. */
 const unknownUpstreamPause: Ms = 500
 
 /** Notices of all upstreams at one entry. */
 export class NoticeCoordinator {
-  /** Requests that upstreams accept, granted by an allocator to all entries. */
+  /** Limits on the requests that upstreams accept, with credit granted by an allocator. */
   private readonly _limits: UsageCoordinator
   /** Upstreams whose leaving this entry has learned from another entry. */
   private readonly _learnedFromPeers = new WeakSet<Upstream>()
@@ -65,7 +66,7 @@
       clock,
       log,
       bounds: () => limitBounds,
-      // Another upstream may have room, so requests are placed there instead of waiting.
+      // Another upstream may have room, so a request is placed there instead of waiting for credit of this one.
       waitsForCredit: false,
       entries,
       entryCount,
@@ -78,16 +79,16 @@
 
   stop (): void { this._limits.stop() }
 
-  /** Takes one request from an upstream's limit; synchronous where it announces none. */
+  /** Takes one request from an upstream's limit; synchronous for an upstream that announces no limit. */
   admit (upstream: Upstream): Admission | Promise<Admission> { return this._limits.admit(upstream.id, 1) }
 
   /** Drops the limits of incarnations that are gone. */
   forget (): void { this._limits.limitsChanged() }
 
   /**
-   * Applies the notice of an answer.
+   * Applies the notice in an upstream's answer.
    *
-   * @param upstream - that gave the answer
+   * @param upstream - sender of the answer
    * @param notice - as read from the answer
    * @param took - ms since the request for the answer was sent
    */
@@ -128,7 +129,7 @@
     return limited
   }
 
-  /** The latest notices of upstreams. Limits that have ended are included: another entry may not have received the end. */
+  /** The latest notices of upstreams. Limits that have ended are included, since another entry may not know that they have. */
   private _noticeRows (): readonly NoticeRow[] {
     const { upstreams, random = Math.random } = this._options
     const announcing = [...upstreams.all()].filter(({ notices }) => notices.leaving || notices.limit.everNamed)
@@ -175,8 +176,9 @@
   }
 
   /**
-   * Notifies the other entries of an upstream that leaves, after a random delay and unless one of them does so first:
-   * all entries that send requests there receive the notice at about the same time.
+   * Notifies the other entries of an upstream that leaves, after a random delay and unless another entry does so first.
+   * All entries that send requests to the upstream receive its notice at about the same time; without the delay each of
+   * them would notify all others.
    */
   private _notifyLeaving (upstream: Upstream): void {
     const { clock, random = Math.random } = this._options
@@ -184,8 +186,8 @@
   }
 
   /**
-   * Sends an upstream's notice to all entries. An entry that has sent no request there would not ask for credit, and
-   * its share of the limit would be unused.
+   * Sends an upstream's notice to all entries. An entry that has sent the upstream no request would otherwise not
+   * request credit, and its share of the limit would stay unused.
    */
   private _notifyOthers (upstream: Upstream): void {
     const { node, entries, client, log } = this._options
--- a/packages/direct/src/lib/quarantine-coordinator.ts
+++ b/packages/direct/src/lib/quarantine-coordinator.ts
@@ -11,7 +11,7 @@
 import { systemKeyPrefix, type PeerAddress } from './peer-table.js'
 import type { Upstream } from './upstream.js'
 
-/** Keys of quarantined requests. */
+/** Prefix of the keys of quarantined requests in the store. */
 export const quarantinePrefix = `${systemKeyPrefix}quarantine/`
 
 /** What the coordinator needs of its entry. */
@@ -32,19 +32,19 @@
 }
 
 /**
- * Entries that count the terminations under one request. Each of them receives all terminations, wherever the request
- * was sent. Three, so that one may be gone and one just started; if every entry were notified, a rack of engines that
- * terminates would cost some 70 entries as many calls each.
+ * Number of entries that count the terminations of upstreams while running one request. Each of them receives all these
+ * terminations, from whichever entry sent the request. Three, so that one may be gone and one just started; if every
+ * entry were notified, the termination of a rack of engines would cost some 70 entries as many calls each.
  */
 const countersPerRequest = 3
 /** Terminations found within this time are sent in one message per entry. */
 const batchDelay: Ms = 20
-/** Number of times that an unanswered message is sent. The kernel repeats a lost packet only after a second. */
+/** Number of times that an unanswered message is sent; the kernel retransmits a lost packet only after a second. */
 const sendAttempts = 3
 const sendPause: Ms = 300
 /**
- * Pause before an entry that was notified of a quarantined request checks that its key is in the store. The entry that
- * decided on the quarantine writes the key at once; the others write it if that entry could not.
+ * Pause before an entry checks that the key of a quarantined request is in the store. The entry that decided on the
+ * quarantine writes the key at once; the others write it if that entry could not. Spread, so that not all write it.
  */
 const checkBase: Ms = 1_500
 const checkSpread: Ms = 1_500
@@ -52,22 +52,22 @@
 /**
  * One entry's part in the quarantine.
  *
- * A request may arrive at any entry, so one entry alone sees too few of the terminations under it. Terminations are
- * reported to the entries that count them for the request. The entry that counts the last one allowed
- * (`quarantine_after`, three by default) asks all entries whether they have answered the request lately. If none has,
- * it notifies all entries to quarantine the request, and writes it into the store, under a lease, for entries that
- * start later or were not reached.
+ * A request may arrive at any entry, so one entry alone sees too few of the terminations that the request causes. They
+ * are reported to the entries that count them for this request. An entry whose count reaches `quarantine_after` (three
+ * by default) asks all entries whether they have answered the request lately. If none has, it notifies all entries to
+ * quarantine the request, and writes the request's fingerprint into the store, under a lease, for entries that start
+ * later or were not reached.
  */
 export class QuarantineCoordinator {
   private readonly _quarantine: RequestQuarantine
   private readonly _detector: TerminationDetector
-  /** Requests whose keys are in the store, and since when. */
+  /** Quarantined requests whose keys are in the store, and since when. */
   private readonly _storedAt = new Map<string, Ms>()
   /** Terminations to be reported, by the entry that counts them. */
   private _unreported = new Map<string, TerminationsMessage['ends'][number][]>()
-  /** Requests about which the other entries are being asked. */
-  private readonly _asking = new Set<string>()
-  private _checking: CancelTimer | undefined
+  /** Requests whose quarantine is being decided, while the other entries are queried. */
+  private readonly _deciding = new Set<string>()
+  private _cancelCheck: CancelTimer | undefined
   private _stopped = false
 
   constructor (private readonly _options: QuarantineCoordinatorOptions) {
@@ -85,7 +85,7 @@
 
   stop (): void {
     this._stopped = true
-    this._checking?.()
+    this._cancelCheck?.()
   }
 
   /** Records a request whose answer was lost at an upstream; `broke`: its connection has ended. */
@@ -111,7 +111,7 @@
     for (const { request, upstream, age } of ends) this._countTermination(request, upstream, this._now - age)
   }
 
-  /** Which of some requests were answered here lately. */
+  /** Returns those of some requests that this entry has answered lately. */
   recentlyAnswered ({ requests }: AnsweredQuery): readonly string[] {
     return requests.filter(request => this._quarantine.wasAnsweredRecently(request, this._now))
   }
@@ -130,7 +130,7 @@
 
   private get _now (): Ms { return this._options.clock.now() }
 
-  private get _others (): readonly PeerAddress[] { return this._options.entries().filter(({ node }) => node !== this._options.node) }
+  private get _peers (): readonly PeerAddress[] { return this._options.entries().filter(({ node }) => node !== this._options.node) }
 
   private _handleTermination (upstream: Upstream, lost: readonly InterruptedRequest[]): void {
     const entries = this._options.entries().map(({ node }) => node)
@@ -151,7 +151,7 @@
   private _sendReports (): void {
     const unreported = this._unreported
     this._unreported = new Map()
-    for (const peer of this._others) {
+    for (const peer of this._peers) {
       const ends = unreported.get(peer.node)
       if (ends !== undefined) this._send(peer, () => this._options.client.reportTerminations(peer, { ends }))
     }
@@ -175,11 +175,11 @@
   }
 
   private _countTermination (request: string, upstream: string, at: Ms): void {
-    if (!this._quarantine.recordTermination(request, { upstream, at }, this._now) || this._asking.has(request)) return
-    this._asking.add(request)
+    if (!this._quarantine.recordTermination(request, { upstream, at }, this._now) || this._deciding.has(request)) return
+    this._deciding.add(request)
     this._decide(request).catch((error: Error) => {
       this._options.log.warn('request', 'quarantine decision failed.', { fingerprint: request, error: error.message })
-    }).finally(() => this._asking.delete(request))
+    }).finally(() => this._deciding.delete(request))
   }
 
   /**
@@ -190,30 +190,30 @@
    */
   private async _decide (request: string): Promise<void> {
     const { client, log } = this._options
-    const answers = await Promise.all(this._others.map(peer => client.queryAnswered(peer, { requests: [request] }).catch((error: Error) => {
+    const answers = await Promise.all(this._peers.map(peer => client.queryAnswered(peer, { requests: [request] }).catch((error: Error) => {
       log.info('peers', 'no answer to query for answered requests.', { peer: peer.node, cause: error.message })
       return []
     })))
     if (answers.flat().includes(request)) return this._quarantine.recordAnswered(request, this._now)
     if (!this._quarantine.hold(request, this._now)) return
-    log.warn('request', 'held back, upstreams ended under it.', { fingerprint: request, upstreams: this._quarantine.terminatedUpstreams(request), holdTime: this._quarantine.holdTime })
+    log.warn('request', 'quarantined, upstreams terminated while running it.', { fingerprint: request, upstreams: this._quarantine.terminatedUpstreams(request), holdTime: this._quarantine.holdTime })
     this._options.held(request)
-    for (const peer of this._others) this._send(peer, () => this._options.client.notifyQuarantined(peer, { requests: [request] }))
+    for (const peer of this._peers) this._send(peer, () => this._options.client.notifyQuarantined(peer, { requests: [request] }))
     this._store(request)
     this._checkLater()
   }
 
   private _quarantineRequest (request: string): void {
     if (!this._quarantine.hold(request, this._now)) return
-    this._options.log.info('request', 'held back, as others found.', { fingerprint: request })
+    this._options.log.info('request', 'quarantined, as decided by another entry.', { fingerprint: request })
     this._options.held(request)
     this._checkLater()
   }
 
   private _checkLater (): void {
     const { clock, random = Math.random } = this._options
-    this._checking ??= clock.after(checkBase + random() * checkSpread, () => {
-      this._checking = undefined
+    this._cancelCheck ??= clock.after(checkBase + random() * checkSpread, () => {
+      this._cancelCheck = undefined
       this._check()
     })
   }
@@ -223,8 +223,8 @@
     const held = this._quarantine.held(this._now)
     for (const request of this._storedAt.keys()) if (!held.has(request)) this._storedAt.delete(request)
     for (const [request, until] of held) {
-      const heldSince = until - this.holdTime
-      if ((this._storedAt.get(request) ?? -Infinity) < heldSince) this._store(request)
+      const quarantinedSince = until - this.holdTime
+      if ((this._storedAt.get(request) ?? -Infinity) < quarantinedSince) this._store(request)
     }
     if (held.size > 0 && !this._stopped) this._checkLater()
   }
--- a/packages/direct/src/lib/termination-detector.ts
+++ b/packages/direct/src/lib/termination-detector.ts
@@ -19,11 +19,11 @@
   readonly log: Log
   /** Probes whether a process listens at an upstream's address. */
   readonly probe: (upstream: Upstream) => Promise<ProbeOutcome>
-  /** Called when an upstream has terminated. */
+  /** Called when an upstream has terminated; `lost`: the requests that may have been the cause. */
   readonly ended: (upstream: Upstream, lost: readonly InterruptedRequest[]) => void
 }
 
-/** What showed that an upstream has terminated. */
+/** How it was detected that an upstream has terminated. */
 type Evidence = 'nobody listens' | 'record gone'
 
 /** Lost answers of one upstream that may have terminated. */
@@ -55,11 +55,11 @@
   /**
    * Records a request whose answer was lost, or is late, at an upstream.
    *
-   * @param broke - whether its connection has ended. An upstream that is merely silent is not probed: streams stall at
-   *   full engines all the time, and a probe's connection occupies a batch slot of the engine for a moment
+   * @param broke - whether the request's connection has ended. An upstream that is merely silent is not probed: streams
+   *   stall at full engines all the time, and a probe's connection occupies a batch slot of the engine for a moment
    */
   lost (upstream: Upstream, request: string, broke: boolean): void {
-    // An upstream that leaves terminates on its own, whatever it still runs.
+    // An upstream that leaves terminates by itself, so the requests that it still runs are not suspect.
     if (upstream.record.state === 'draining') return
     const suspicion = this._suspicions.get(upstream) ?? this._suspect(upstream)
     suspicion.lost.set(request, this._options.clock.now())
--- a/packages/direct/src/lib/usage-coordinator.ts
+++ b/packages/direct/src/lib/usage-coordinator.ts
@@ -1,6 +1,6 @@
 /**
- * Holds accounts to their limits, together with the other entries. An account is whatever has a limit over all
- * entries: an organisation's usage, or the requests that an upstream accepts.
+ * Enforces usage limits together with the other entries. An account is anything that has one limit over all entries:
+ * an organisation's usage, or the requests that an upstream accepts.
  */
 import type { Clock, Log, Ms } from '@hazelford/core'
 import { type CreditLimit, rendezvousOrder, rendezvousWeight, type UsageBounds, type UsageGrant, UsageAllocator, type UsageReport, type UsageRow, reportTtl } from '@hazelford/decisions'
@@ -15,12 +15,12 @@
 /** What the coordinator needs of its entry. */
 export interface UsageCoordinatorOptions {
   readonly node: string
-  /** What is limited; each kind has allocators of its own. */
+  /** Kind of the accounts; each kind has allocators of its own. */
   readonly kind: 'usage' | 'upstream-limits'
   readonly clock: Clock
   readonly log: Log
   readonly bounds: () => UsageBounds
-  /** Whether requests wait for credit that is expected soon. */
+  /** Whether requests wait for credit that is expected soon; if not, they are refused once the allocator has none. */
   readonly waitsForCredit: boolean
   /** All entries that are running. */
   readonly entries: () => readonly PeerAddress[]
@@ -28,7 +28,7 @@
   readonly entryCount: () => number
   /** Limits in force, by account. */
   readonly limits: () => ReadonlyMap<string, CreditLimit>
-  /** Grant to assume for a row that the allocator's answer leaves out. */
+  /** Grant to assume for an account that the allocator's answer leaves out. */
   readonly defaultGrant: (row: UsageRow) => Omit<UsageGrant, 'account'>
   readonly report: (peer: PeerAddress, msg: UsageMessage) => Promise<readonly UsageGrant[]>
   readonly ping: (peer: PeerAddress) => Promise<void>
@@ -44,9 +44,12 @@
  * may have started during an outage of the store and not know any other entry yet.
  */
 const startupGrace: Ms = 2_000
-/** Entries report at least this often to the entry that they take for the allocator. */
+/** Entries report at least this often to the entry that they consider the allocator. */
 const reportWithin: Ms = 400
-/** Time for which an entry goes on reporting after its last limit has ended. */
+/**
+ * Time for which an entry goes on reporting after its last limit has ended: its reports are how other entries learn
+ * that the limit has ended.
+ */
 const reportAfterEnd: Ms = 2_000
 
 /** One entry's part of the usage limits: its own credit, and what it grants to others as an allocator. */
@@ -54,7 +57,7 @@
   private readonly _queues = new Map<number, CreditQueue>()
   private readonly _allocators = new Map<number, UsageAllocator>()
   private readonly _suspects: PeerSuspects
-  /** When another entry last reported here. */
+  /** When another entry last sent a report to this one. */
   private _peerReportAt: Ms = -Infinity
   private _limits: ReadonlyMap<string, CreditLimit> = new Map()
   /** When a limit was first known. */
@@ -91,13 +94,13 @@
   /**
    * Takes a request's usage from an account.
    *
-   * @returns synchronously when credit is available, or when the allocator lately had none
+   * @returns synchronously when credit is available, or when the allocator has lately answered that it has none
    */
   admit (account: string, cost: number): Admission | Promise<Admission> {
     return this._limits.has(account) ? this._queue(this._shardOf(account)).admit(account, cost) : { kind: 'admitted', refund: () => {} }
   }
 
-  /** Handles a report of another entry, or of this one to itself. */
+  /** Handles, as an allocator, a report of another entry or of this entry itself. */
   report ({ shard, ...report }: UsageMessage): readonly UsageGrant[] {
     const { clock, bounds, node, entryCount } = this._options
     if (report.entry !== node) this._peerReportAt = clock.now()
@@ -107,13 +110,13 @@
     return allocator.report(report, { bounds: bounds(), now: clock.now(), entries: entryCount(), limitOf: name => this._limits.get(name) })
   }
 
-  /** Whether other entries may be allocators of the same accounts without this entry knowing them yet. */
+  /** Whether another entry, not known here yet, may be the allocator of the same accounts. */
   private get _mayMissOthers (): boolean {
     const now = this._options.clock.now()
     return now - (this._limitedSince ?? now) < startupGrace && now - this._peerReportAt > reportTtl
   }
 
-  /** Other entries may still apply a limit that has ended; reports to them are how they learn of its end. */
+  /** Whether to report: also for a while after the last limit has ended, since other entries may still apply it and learn of its end by these reports. */
   private get _isNeeded (): boolean { return this._limits.size > 0 || this._options.clock.now() - this._endedAt < reportAfterEnd }
 
   private get _shards (): number { return Math.max(1, Math.ceil(this._limits.size / accountsPerAllocator)) }
@@ -132,9 +135,9 @@
   }
 
   /**
-   * Reports to the first allocator that answers; in the end to this entry itself.
+   * Reports to the first candidate for the allocator that answers, and to this entry itself if none does.
    *
-   * Callers wait for the answer. After each failure twice as many candidates are pinged at once, so the total of the
+   * Callers wait for the answer. After each failure twice as many candidates are pinged at once, so that the sum of the
    * timeouts grows with the logarithm of the number of entries.
    */
   private async _report (shard: number, report: UsageReport): Promise<readonly UsageGrant[]> {
@@ -173,7 +176,7 @@
     })
   }
 
-  /** Adds default grants for rows that the answer left out. Asked again, the allocator would leave them out again. */
+  /** Adds default grants for rows that the answer left out. In the answer to a second report they would be missing again. */
   private _complete ({ rows }: UsageReport, grants: readonly UsageGrant[]): readonly UsageGrant[] {
     const granted = new Set(grants.map(({ account }) => account))
     const missing = rows.filter(({ account }) => !granted.has(account))
