--- a/packages/direct/src/lib/change-feed.ts
+++ b/packages/direct/src/lib/change-feed.ts
@@ -8,7 +8,7 @@
 export interface FeedChanges extends StoreChanges {
   /** Ms since the store last answered. */
   readonly age: Ms
-  /** Ms since which the view of the answering entry may have missed a change. */
+  /** Ms for which the view of the answering entry may have missed a change. */
   readonly viewAge: Ms
 }
 
--- a/packages/direct/src/lib/config-verifier.ts
+++ b/packages/direct/src/lib/config-verifier.ts
@@ -9,7 +9,7 @@
   readonly log: Log
   /** Ms after its withdrawal within which a key must be refused at every entry; 0 lets an entry go on with the configuration that it has. */
   readonly withdrawWithin: () => Ms
-  /** Ms since which the configuration may have changed without this entry knowing. */
+  /** Ms for which the configuration may have changed without this entry knowing. */
   readonly viewAge: () => Ms
   /** Queries the store and some peers at once; each promise ends when the answer, if there is one, is in force. */
   readonly query: () => readonly Promise<void>[]
--- a/packages/direct/src/lib/peer-state.ts
+++ b/packages/direct/src/lib/peer-state.ts
@@ -10,7 +10,7 @@
 export interface PeerState {
   /** Ms since the store last answered the peer. */
   readonly age: Ms
-  /** Ms since which the peer's view may have missed a change; undefined from an entry of a version that does not send it. */
+  /** Ms for which the peer's view may have missed a change; undefined from an entry of a version that does not send it. */
   readonly viewAge?: Ms
   readonly config: RouteConfig
   readonly versions: readonly AdapterVersion[]
@@ -24,7 +24,7 @@
 /** How current an entry's configuration is. */
 export interface ConfigAge {
   readonly version: number
-  /** Ms since which it may have changed without the entry knowing. */
+  /** Ms for which it may have changed without the entry knowing. */
   readonly viewAge: Ms
 }
 
--- a/packages/direct/src/lib/relay-runner.ts
+++ b/packages/direct/src/lib/relay-runner.ts
@@ -30,14 +30,14 @@
   readonly budgetLimits: () => SharedBudgetLimits
 }
 
-/** Retry-After: long enough for an ejection or a load to be over, short compared with any caller's longest wait. */
+/** Shortest Retry-After of a failed request: long enough for an ejection or a load to complete, short compared with any caller's longest wait. */
 const retryAfterBase: Ms = 150
 const retryAfterSpread: Ms = 250
 
 /** Requests of one entry in progress. */
 export class RelayRunner {
   private readonly _budgets = new Map<string, SharedRetryBudget>()
-  /** Requests whose answer is not complete. */
+  /** Requests whose answers are not complete. */
   private readonly _open = new Set<RelayTask>()
 
   constructor (private readonly _options: RelayRunnerOptions) {}
@@ -117,7 +117,7 @@
     return allowed
   }
 
-  /** Jittered, so that callers refused together don't return together. */
+  /** Retry-After of a failed request in ms; jittered, so that callers refused together don't return together. */
   private _retryAfter (failure: RelayFailure): Ms {
     if (failure === 'quarantined') return this._options.quarantine.holdTime
     return retryAfterBase + Math.random() * retryAfterSpread
--- a/packages/direct/src/lib/relay-task.ts
+++ b/packages/direct/src/lib/relay-task.ts
@@ -19,11 +19,11 @@
   readonly headers: readonly string[]
   readonly body: Buffer | undefined
   readonly arrivedAt: Ms
-  /** Whether a key is needed to send requests. */
+  /** Whether callers need a key to send requests. */
   readonly byKey: boolean
   /** The organisation whose key was sent; undefined without one. */
   readonly organisation: string | undefined
-  /** 0 is the most urgent. */
+  /** Priority; 0 is the most urgent. */
   readonly priority: number
 }
 
@@ -38,7 +38,7 @@
   readonly firstData: Ms | undefined
   /** Longest ms between two events. */
   readonly longestGap: Ms
-  /** Whether no upstream can have begun to run it. */
+  /** Whether it is certain that no upstream has begun to run the request. */
   readonly notRun: boolean
 }
 
@@ -50,39 +50,43 @@
   /** The adapter that it needs, in the version declared now. */
   readonly want: () => RequestedAdapter | undefined
   readonly place: (query: PlacementQuery) => Promise<Placement>
+  /** Takes one retry from the retry budget; false when the budget is spent. */
   readonly takeRepeat: () => boolean
   /** Whether its caller may still send it. */
   readonly isAllowed: () => boolean
-  /** Whether a request is quarantined, since upstreams terminate while running it. */
+  /** Whether a request is quarantined because upstreams have terminated while running it. */
   readonly isQuarantined: (fingerprint: () => string) => boolean
   /** Called when an upstream gave no answer, or no more of it, soon after it received the request; `broke`: its connection has ended. */
   readonly answerLost: (upstream: Upstream, fingerprint: string, broke: boolean) => void
-  /** The upstream's notice in an answer; `took`: ms from the send to the answer's head. */
+  /** Called with the upstream's notice in an answer; `took`: ms from the send to the answer's head. */
   readonly noticed: (upstream: Upstream, notice: UpstreamNotice, took: Ms) => void
+  /** Ms after which a caller refused for this failure is asked to return. */
   readonly retryAfter: (failure: RelayFailure) => Ms
+  /** Called when an upstream refused the request because the adapter was not loaded. */
   readonly adapterBroken: (upstream: string, want: RequestedAdapter) => void
-  /** `serviceTime`: ms from the send to its end. */
+  /** Called when an exchange with an upstream has ended or stalled; `serviceTime`: ms from the send until then. */
   readonly exchanged: (upstream: Upstream, outcome: ExchangeOutcome, latency: Ms | undefined, serviceTime: Ms) => void
+  /** Called when the request has ended. */
   readonly over: (summary: RelaySummary) => void
 }
 
 /**
- * Margin after the route's timeout. The upstream knows the timeout and answers it by itself; this much later the entry
- * answers in its place.
+ * Margin after the route's timeout. The upstream knows the timeout and reports it by itself; if no answer has arrived
+ * this much later, the entry answers the caller.
  */
 const timeoutMargin: Ms = 40
 /** Silence before the first event after which a resumable stream is sent to another upstream. */
 const streamSilence: Ms = 1_500
 /** Silence between events after which a resumable stream is resumed at another upstream. */
 const gapSilence: Ms = 900
-/** A plain answer that takes this many times the route's latency target is requested of another upstream, if it may be retried. */
+/** A plain request whose answer takes this many times the route's latency target is sent to another upstream, if it may be retried. */
 const slowFactor = 3
 const slowFloor: Ms = 250
 /** Share of the remaining time that a request may wait for its adapter; the rest is for its answer. */
 const loadShare = 0.5
 /**
- * Callers of streams leave after a silence of this many latency targets, and not before `leaveFloor`. A caller refused
- * before that retries; one that is kept waiting longer has left.
+ * Callers of streams leave after a silence of this many latency targets, and not before `leaveFloor`. A caller that is
+ * refused before that time retries; one that is kept waiting longer has left without an answer.
  */
 const leaveTargets = 4
 const leaveFloor: Ms = 2_000
@@ -100,7 +104,7 @@
   private _waits: PlacementWaits | undefined
   /** Returns what the request took of its upstream's limit. */
   private _refund: () => void = () => {}
-  /** Ms until a place can be expected, where that is known. */
+  /** Ms until an upstream can be expected to accept the request, where that is known. */
   private _retryAfter: Ms | undefined
   private _want: RequestedAdapter | undefined
   private _completeAnswer: WholeAnswer | undefined
@@ -117,8 +121,11 @@
   private _longestGap: Ms = 0
   private _sends = 0
   /**
+   * State of a silent upstream.
+   *
+   * - `none`: the upstream is not silent.
    * - `placing`: the upstream is silent, and another one is being looked for.
-   * - `over`: the upstream has sent data again meanwhile.
+   * - `over`: the upstream has sent data again while another one was looked for.
    * - `unplaced`: the upstream is still silent, and no other one can run the request.
    */
   private _stall: 'none' | 'placing' | 'over' | 'unplaced' = 'none'
@@ -144,10 +151,10 @@
   /** Identity of the request, equal for each attempt at it. */
   get fingerprint (): string { return (this._fingerprint ??= requestFingerprint({ ...this._call, ...this._call.facts })) }
 
-  /** Ends the request, since it is quarantined from now on. */
+  /** Ends the request because it is quarantined from now on. */
   hold (): void { this._post({ kind: 'held' }) }
 
-  /** The caller has closed its connection. */
+  /** Handles that the caller has closed its connection. */
   callerGone (): void { this._post({ kind: 'caller-gone' }) }
 
   private _post (msg: RelayMessage): void {
@@ -160,8 +167,8 @@
   }
 
   /**
-   * Ends this request after a fault of the entry. If the error were thrown on, it would end the process and every
-   * other caller's request with it; instead it is logged and this caller's connection is cut.
+   * Ends this request after an error within the entry. Uncaught, the error would end the process, and every other
+   * caller's request with it; instead it is logged and this caller's connection is cut.
    */
   private _endAfterFault (error: Error): void {
     this._options.log.warn('request', 'ended by a fault of the entry.', { request: this._call.facts.id, error: error.stack })
@@ -200,11 +207,11 @@
   private get _remaining (): Ms { return this._deadline - this._options.clock.now() }
 
   /**
-   * Longest time in ms that the request may still wait for a place.
+   * Longest time in ms that the request may still wait for an upstream.
    *
-   * Callers leave after a silence, not at a fixed time after their request: a stream that broke off in its fourth
-   * second is waited for as long as one that has not begun. Measured from the request's arrival, such a stream could
-   * be resumed elsewhere only if its adapter happened to be loaded there.
+   * Callers leave after a silence, not at a fixed time after their request: they wait for a stream that broke off in its
+   * fourth second as long as for one that has not begun. If the wait were measured from the request's arrival, such a
+   * stream could be resumed at another upstream only if its adapter happened to be loaded there.
    */
   private get _longestWait (): Ms {
     const waited = this._options.clock.now() - (this._dataAt ?? this._call.arrivedAt)
@@ -213,9 +220,9 @@
   }
 
   private _place (avoid: ReadonlySet<string>, retryUpstream: string | undefined): void {
-    // A stream may be resumed many seconds after its request arrived. A version declared since then is in force at the
-    // other upstream; with the version of its first placement the stream would start over on weights that were
-    // replaced.
+    // A stream may be resumed many seconds after its request arrived. If a new version of its adapter was declared since
+    // then, that version is in force at the other upstream; with the version of the first placement, the stream would
+    // start over on weights that were replaced.
     this._want = this._options.want()
     this._retryAfter = undefined
     const query: PlacementQuery = {
@@ -241,9 +248,9 @@
   /**
    * Handles the result of a placement.
    *
-   * The engine's holder counts a batch slot that it granted as used until it learns otherwise. No request is sent for
-   * a caller who has left meanwhile, or for a stream that has gone on at its upstream. Unless that is reported, the
-   * slot stays empty for seconds, and callers are refused although the engine is idle.
+   * The engine's holder counts a batch slot that it granted as used until it learns otherwise. No request is sent to the
+   * engine if the caller has left meanwhile, or if the stream has gone on at its former upstream. Unless the unused slot
+   * is reported to the holder, it stays empty for seconds, and callers are refused although the engine is idle.
    */
   private _placed (placed: Placement): void {
     const sends = this._sends
@@ -257,7 +264,7 @@
     if (this._remaining <= 0) return this._post({ kind: 'timeout' })
     const stall = this._stall
     this._stall = stall === 'placing' && placed.kind === 'unplaced' ? 'unplaced' : 'none'
-    // The stream goes on at its upstream; moving it now would make another engine read the prompt again for nothing.
+    // The stream goes on at its upstream. If it were moved now, another engine would have to read its prompt again.
     if (stall === 'over') return this._post({ kind: 'moves-again' })
     if (placed.kind === 'unplaced') {
       this._retryAfter = placed.retryAfter
@@ -367,7 +374,7 @@
     return this._route.kind === 'read-only' || (this._isStream && this._route.resumable)
   }
 
-  /** Reports that this request may be the cause if its upstream turns out to have terminated. */
+  /** Reports that this request may be the cause, in case its upstream turns out to have terminated. */
   private _reportSuspect (upstream: Upstream, broke: boolean): void {
     const answeredFor = this._upstreamDataSince === undefined ? 0 : this._dataAt! - this._upstreamDataSince
     if (mayHaveCausedTermination(answeredFor)) this._options.answerLost(upstream, this.fingerprint, broke)
--- a/packages/direct/src/lib/store-follower.ts
+++ b/packages/direct/src/lib/store-follower.ts
@@ -1,5 +1,5 @@
 /**
- * Receives changes in the store from entries that watch it.
+ * Receives changes in the store from the entries that watch the store.
  */
 import { type Clock, type Instant, instantOf, type Log, type Ms } from '@hazelford/core'
 import type { StoreRole } from '@hazelford/decisions'
@@ -13,15 +13,15 @@
   readonly role: () => StoreRole
   readonly peer: (node: string) => PeerAddress | undefined
   readonly poll: (peer: PeerAddress, after: number, wait: Ms) => Promise<FeedAnswer>
-  /** Longest age of a watcher's view with which its changes are used. */
+  /** Age of a watcher's view up to which the watcher's changes are used. */
   readonly bound: () => Ms
 }
 
-/** How long a watcher holds a poll open when there are no changes. A dead watcher is noticed by the timeout, a little later. */
+/** How long a watcher holds a poll open when there are no changes. A watcher that has crashed is noticed by the call's timeout, a little later. */
 const longestWait: Ms = 400
 /** How long a watcher that failed, or had a stale view, is skipped. */
 const skipFor: Ms = 3_000
-/** Watchers tried before the store itself is asked. */
+/** Number of watchers tried before the store itself is read. */
 const maxPolled = 2
 
 /** Changes received from a watcher. */
@@ -40,8 +40,8 @@
   /**
    * Polls a watcher for changes.
    *
-   * @param after - revision that is known
-   * @returns undefined when the store must be asked: this entry watches it, or no watcher has a usable view
+   * @param after - latest revision that this entry has
+   * @returns undefined when the store itself must be read: this entry watches it, or no watcher has a usable view
    */
   async changes (after: number): Promise<FollowedChanges | undefined> {
     const { clock, role, peer } = this._options
--- a/packages/direct/src/lib/store-mirror.ts
+++ b/packages/direct/src/lib/store-mirror.ts
@@ -12,8 +12,9 @@
   /** All items. */
   readonly reset: (items: readonly StoreItem[]) => void
   readonly changed: (event: StoreEvent) => void
-  /** The store answers again after failures. */
+  /** The store answers again after it was lost. */
   readonly regained: () => void
+  /** The store has stopped answering. */
   readonly lost: () => void
 }
 
@@ -21,27 +22,31 @@
  * Empty prefix, for all keys: the store belongs to one deployment, and one watch of all keys costs a third of three
  * watches of its parts.
  */
-const everything = ''
+const allKeysPrefix = ''
 /**
  * Longest wait of a watch. A connection that has become silent is noticed only by its timeout, and a change of the
  * configuration must be in force 2 s after it was accepted.
  */
 const watchWait: Ms = 1_200
 /**
- * Pause between two watches, so that changes that come together cost one call: with one entry, and for each further
- * one. The store's rate limit grows more slowly than the fleet, so the pause grows with it.
+ * Pause between two watches, so that changes that come together cost one call: a base, and an addition for each entry
+ * that watches the store. The store's rate limit grows more slowly than the number of entries, so the pause grows with
+ * that number.
  */
 const watchPauseBase: Ms = 300
 const watchPausePerEntry: Ms = 15
-/** Longest pause, as a share of the time in which a change must be in force. */
+/** Longest pause between two watches, as a share of the time in which a change must be in force. */
 const maxWatchPauseShare = 1 / 3
 const backoff = { base: 60, cap: 600 }
-/** Margin for the store's answer and a busy host. */
+/** Margin of a watch for the transfer of the store's answer and for a busy host. */
 const answerMargin: Ms = 150
 /** Consecutive failed calls after which the store counts as lost. */
 const lostAfter = 2
 
-/** Longest wait of a watch by an entry that others follow: the followers must notice in time when it receives no more. */
+/**
+ * Longest wait of a watch by an entry that other entries follow. They judge its view by the time of the store's last
+ * answer, so they notice the sooner that it no longer receives changes.
+ */
 const servedWatchWait: Ms = 600
 
 /** What a mirror needs. */
@@ -51,7 +56,7 @@
   readonly log: Log
   /** Roles of this entry and the others at the store. */
   readonly role: () => StoreRole
-  /** Changes after a revision as another entry has received them; undefined when the store must be asked. */
+  /** Changes after a revision as another entry has received them; undefined when the store itself must be read. */
   readonly follow: (after: number) => Promise<FollowedChanges | undefined>
   /** Tracks since when the view may have missed a change. */
   readonly viewAge: ViewAge
@@ -79,8 +84,8 @@
   get revision (): number { return this._revision }
 
   /**
-   * Lists the whole store at the next turn instead of continuing the watch. Changes since this mirror's revision would
-   * be replayed over a newer view that came from a peer.
+   * Lists the whole store at the next turn instead of continuing the watch. A watch would replay the changes since this
+   * mirror's revision over a newer view that came from a peer.
    */
   scheduleRelist (): void { this._isRelistDue = true }
 
@@ -129,14 +134,14 @@
 
   private async _list (): Promise<'heard' | 'failed'> {
     const asked = this._instant
-    const listing = await this._options.store.list(everything)
+    const listing = await this._options.store.list(allKeysPrefix)
     if (listing.isErr()) return 'failed'
     this._applyListing(listing.value)
     this._recordVerified(asked, 0)
     return 'heard'
   }
 
-  /** Receives changes from another entry; undefined when the store must be asked. */
+  /** Receives changes from another entry; undefined when the store itself must be read. */
   private async _follow (): Promise<'followed' | undefined> {
     const changes = await this._options.follow(this._revision)
     if (changes === undefined || this._isRelistDue) return undefined
@@ -162,7 +167,7 @@
 
   private async _watch (): Promise<'heard' | 'failed'> {
     const asked = this._instant
-    const changes = await this._options.store.watch(everything, this._revision, this._watchWait)
+    const changes = await this._options.store.watch(allKeysPrefix, this._revision, this._watchWait)
     if (changes.isOk()) {
       this._applyChanges(changes.value)
       this._recordVerified(asked, 0)
@@ -171,7 +176,7 @@
     // The store no longer has the changes since this mirror's revision. Only a listing of the whole store shows what
     // happened meanwhile; continuing from a later revision would miss it for good.
     if (changes.error.kind === 'history-lost') {
-      this._options.log.info('store', 'history lost, reading everything.', { revision: this._revision })
+      this._options.log.info('store', 'history lost, listing the whole store.', { revision: this._revision })
       this._known = false
       return 'heard'
     }
@@ -180,7 +185,7 @@
 
   private get _instant (): Instant { return instantOf(this._options.clock) }
 
-  /** Records that the view contains all that an answer covered. */
+  /** Records that the view contains all changes up to an answer; `asked`: when its call was sent. */
   private _recordVerified (asked: Instant, age: Ms): void { this._options.viewAge.answered(asked, age, this._instant) }
 
   private _recordAnswer (at: Ms): void {
--- a/packages/direct/src/lib/store-view.ts
+++ b/packages/direct/src/lib/store-view.ts
@@ -26,7 +26,7 @@
   readonly client: PeerClient
   /** Time within which an accepted change must be in force. */
   readonly applyWithin: () => Ms
-  /** Fingerprints of quarantined requests, for a peer that asks. */
+  /** Fingerprints of quarantined requests, for peers that request them. */
   readonly heldRequests: () => readonly string[]
 }
 
@@ -77,19 +77,19 @@
   /** Whether the store has stopped answering. */
   get storeLost (): boolean { return this._mirror.lost }
 
-  /** Ms since which the configuration may have changed without this entry knowing; infinite when it was never verified. */
+  /** Ms for which the configuration may have changed without this entry knowing; infinite when it was never verified. */
   get viewAge (): Ms { return this._viewAge.at(this._instant) }
 
-  /** Age of the configuration, for a peer that asks; undefined when there is none. */
+  /** Age of the configuration, for peers that query it; undefined while there is no configuration. */
   get configAge (): ConfigAge | undefined {
     const { table } = this.config
     return table === undefined ? undefined : { version: table.version, viewAge: Math.min(longestAge, this.viewAge) }
   }
 
   /**
-   * Queries the store and some peers whether the configuration is still the one in force.
+   * Queries the store and some peers to verify that this entry's configuration is still the latest.
    *
-   * @returns one promise per query, which ends when the answer is in force or none came
+   * @returns one promise per query, which resolves when the answer has been applied or none has come
    */
   queryConfig (): readonly Promise<void>[] {
     const others = this.peers.entries.filter(({ node }) => node !== this._options.node)
@@ -112,7 +112,7 @@
     const asked = this._instant
     const answer = await client.configAge(peer)
     if (answer === undefined) return
-    // A complete state has hundreds of routes; it is requested only when the version differs.
+    // The peer's complete state has hundreds of routes, so it is requested only when the version is newer.
     if (answer.version === this.config.table?.version) this._viewAge.answered(asked, answer.viewAge, this._instant)
     else if (answer.version > (this.config.table?.version ?? 0)) this._applyConfig(await client.state(peer), asked)
   }
@@ -123,7 +123,7 @@
 
   private get _role (): StoreRole { return storeRole(this._options.node, this.peers.entries) }
 
-  /** @param seeds - addresses of peers to ask during an outage of the store */
+  /** @param seeds - addresses of peers from which to fetch the state during an outage of the store */
   start (seeds: readonly { readonly host: string, readonly port: number }[]): void {
     const { client, clock, log } = this._options
     this._mirror.start()
@@ -232,7 +232,7 @@
     this.peers.follow(state.entries, state.holders)
   }
 
-  /** Applies the state of a peer that reads the store while the store does not answer this entry. */
+  /** Applies the state of a peer that the store answers, while it does not answer this entry. */
   private _follow (state: PeerState, asked: Instant): void {
     this._applyConfig(state, asked)
     this.members.follow(state.upstreams)
@@ -242,8 +242,8 @@
 
   private _applyConfig ({ config, versions, heldRequests, viewAge }: PeerState, asked: Instant): void {
     this._listener.quarantinedByPeer(heldRequests ?? [])
-    // A configuration of an entry without support for keys does not define who may send requests. Applied, it would
-    // admit anyone.
+    // A configuration from an entry of a version without support for keys does not define who may send requests. If it
+    // were applied, anyone would be admitted.
     if (config.access !== undefined) {
       this.config.applyIfNewer(config)
       this._viewAge.answered(asked, viewAge ?? Infinity, this._instant)
