--- a/packages/direct/src/lib/caller-answer.ts
+++ b/packages/direct/src/lib/caller-answer.ts
@@ -15,7 +15,7 @@
   | { readonly kind: 'no-config', readonly retryAfter: Ms }
   | { readonly kind: 'unauthorised', readonly cause: UnauthorisedCause }
   | { readonly kind: 'over-limit', readonly organisation: string, readonly retryAfter: Ms }
-  /** The configuration may have changed without this entry knowing, and the validity of the request's key with it. */
+  /** The configuration may have changed without this entry knowing, so the request's key may be withdrawn. */
   | { readonly kind: 'config-unproven', readonly retryAfter: Ms }
 
 /** Whether the request failed because its time ran out. */
@@ -83,8 +83,8 @@
   }
 
   /**
-   * Passes an answer that ends with its connection on in the same way. With a length added here, an answer that was
-   * cut short would look complete to its caller.
+   * Returns the headers of an answer whose end is the close of its connection, to be passed on in the same way. If a
+   * length were added here, an answer that was cut short would look complete to its caller.
    */
   private _unframed (): string[] {
     this._res.useChunkedEncodingByDefault = false
@@ -121,10 +121,10 @@
     this._res.end(body)
   }
 
-  /** Cuts off an answer that has begun, without its end, so that the caller can't take it for complete. */
+  /** Cuts off an answer that has begun, in such a way that the caller can't take it for complete. */
   break (): void {
     this._ended = true
-    // Where the close of the connection marks the end of the answer, only a reset tells the two apart.
+    // If the close of the connection marks the end of the answer, only a reset shows that the answer is incomplete.
     if (this._endsWithConnection) this._res.socket?.resetAndDestroy()
     else this._res.destroy()
   }
--- a/packages/direct/src/lib/caller-server.ts
+++ b/packages/direct/src/lib/caller-server.ts
@@ -32,7 +32,7 @@
 /** How often slow and idle connections are checked. */
 const checkEvery: Ms = 500
 const defaultHeaderBytes = 16 * 1024
-/** Time that idle connections are kept beyond the configured limit, for requests that are on their way when the limit is reached. */
+/** Time for which idle connections are kept beyond the configured limit, for requests that are on their way when the limit is reached. */
 const idleSlack: Ms = 500
 const backlog = 1_024
 
@@ -129,7 +129,7 @@
       onGone: run => {
         const { socket } = req
         const gone = (): void => { if (!res.writableFinished) run() }
-        // The end of the caller's side arrives a little before the close of the connection.
+        // When the caller closes its side, `end` is emitted a little before `close`.
         socket.once('end', gone)
         res.once('close', () => {
           socket.removeListener('end', gone)
--- a/packages/direct/src/lib/change-feed.ts
+++ b/packages/direct/src/lib/change-feed.ts
@@ -15,7 +15,7 @@
 /** The answer to a follower: changes, or `not-kept` when this entry no longer has them. */
 export type FeedAnswer = { readonly kind: 'changes' } & FeedChanges | { readonly kind: 'not-kept' }
 
-/** Events kept: about 20 s of changes of a hundred upstreams. A follower polls several times a second. */
+/** Number of events kept: about 20 s of changes of a hundred upstreams. A follower polls several times a second. */
 const maxEvents = 1_000
 
 function isEvent (value: unknown): value is StoreEvent {
@@ -31,7 +31,7 @@
 /**
  * Reads a peer's answer.
  *
- * A peer of another version may send something else, which unchecked would end the loop that follows the store.
+ * A peer of another version may send something else. Without this check, it would end the loop that follows the store.
  *
  * @param value - decoded JSON
  * @returns undefined when it is not an answer
@@ -41,7 +41,7 @@
   if (kind === 'not-kept') return { kind }
   if (kind !== 'changes' || !Array.isArray(events) || !events.every(isEvent)) return undefined
   if (typeof revision !== 'number' || typeof age !== 'number') return undefined
-  // A peer of a version without `viewAge` verifies nothing.
+  // An answer without `viewAge`, from a peer of an older version, verifies nothing.
   return { kind, events, revision, age, viewAge: typeof viewAge === 'number' ? viewAge : longestAge }
 }
 
@@ -82,7 +82,7 @@
   /**
    * Waits for changes.
    *
-   * @param after - revision that the follower has
+   * @param after - latest revision that the follower has
    * @param wait - longest wait in ms
    */
   async since (after: number, wait: Ms): Promise<FeedAnswer> {
--- a/packages/direct/src/lib/config-verifier.ts
+++ b/packages/direct/src/lib/config-verifier.ts
@@ -7,11 +7,11 @@
 export interface ConfigVerifierOptions {
   readonly clock: Clock
   readonly log: Log
-  /** Ms after its withdrawal within which a key must be refused at every entry; 0 lets an entry go on with the configuration that it has. */
+  /** Ms after the withdrawal of a key within which every entry must refuse it; 0 lets an entry go on with the configuration that it has. */
   readonly withdrawWithin: () => Ms
   /** Ms for which the configuration may have changed without this entry knowing. */
   readonly viewAge: () => Ms
-  /** Queries the store and some peers at once; each promise ends when the answer, if there is one, is in force. */
+  /** Queries the store and some peers at once; each promise resolves when the answer has been applied or none has come. */
   readonly query: () => readonly Promise<void>[]
 }
 
@@ -25,8 +25,8 @@
 const retryPause: Ms = 250
 
 /**
- * Maintains this invariant: a request that was read at a time A is admitted only if every change accepted before A
- * minus the bound is known here.
+ * Maintains this invariant: a request that was read at a time A is admitted only if this entry knows every change of
+ * the configuration that was accepted before A minus the bound.
  *
  * A key may have been withdrawn while this entry was frozen, cut off or rejected by the store. The entry receives no
  * message about that; only an answer to a query that it sent lately shows that it missed nothing.
--- a/packages/direct/src/lib/connection-pool.ts
+++ b/packages/direct/src/lib/connection-pool.ts
@@ -13,7 +13,7 @@
   readonly maxConnections: number
 }
 
-/** Time for a connection to open. Zones are a few ms apart; a lost packet is repeated only after a second. */
+/** Time for a connection to open. Zones are a few ms apart; the kernel retransmits a lost packet only after a second. */
 const connectTimeout: Ms = 600
 /** Margin by which a connection is reused for less than the announced idle time. */
 const idleMargin: Ms = 300
@@ -72,7 +72,7 @@
   private _take (repeatable: boolean): Socket {
     const limit = repeatable ? this._idleLimit : Math.min(this._idleLimit, unrepeatableIdle)
     const now = this._clock.now()
-    // The most recently used connection first, so that the others become stale and close.
+    // The most recently used connection is taken first, so that the others reach their idle limit and close.
     for (let idle = this._idle.pop(); idle !== undefined; idle = this._idle.pop()) {
       idle.stop()
       if (!idle.socket.destroyed && now - idle.since < limit) return idle.socket
@@ -99,8 +99,8 @@
       socket.destroy()
       return
     }
-    // Bytes after a complete answer belong to no request. Left in the connection they would be read as the answer to
-    // the next request, which may be another caller's.
+    // Bytes after a complete answer belong to no request. If the connection were reused, they would be read as the answer
+    // to the next request, which may be another caller's.
     if (socket.readableLength > 0) {
       socket.destroy()
       return
--- a/packages/direct/src/lib/current-config.ts
+++ b/packages/direct/src/lib/current-config.ts
@@ -33,7 +33,7 @@
   reset (items: readonly StoreItem[]): void { for (const item of items) this._apply(item) }
 
   apply (event: StoreEvent): void {
-    // The removal of a key revokes nothing: the configuration or version in force stays.
+    // The removal of a key from the store revokes nothing: the configuration or version in force stays.
     if (event.kind === 'put') this._apply(event.item)
   }
 
--- a/packages/direct/src/lib/direct-entry.ts
+++ b/packages/direct/src/lib/direct-entry.ts
@@ -42,18 +42,18 @@
   readonly settleTime?: Ms
 }
 
-/** Share of an upstream's connections that the known entries use; the rest is for entries that are not listed yet. */
+/** Share of an upstream's connections that the listed entries use together; the rest is for entries that are not listed yet. */
 const connectionShare = 0.9
 const defaultConnections = 100
 /**
- * Delay after the end of an adapter's last request here until its holder is notified, unless a load request does so
- * before. Requests that end together are reported together. The adapter slot stays occupied for that long without a
- * request.
+ * Delay between the end of a request and the report to the engine's holder, unless a load request carries that report
+ * before. Requests that end together are reported together. An adapter whose last request has ended occupies its adapter
+ * slot for that much longer.
  */
 const reportUseDelay: Ms = 20
 /** The load balancer checks readiness once a second and removes an entry after two failed checks. */
 const balancerNotice: Ms = 2_600
-/** Time kept of the grace period for the process itself to exit. */
+/** Part of the grace period that is left for the process itself to exit. */
 const graceMargin: Ms = 700
 const defaultMaxBody = 4 << 20
 /** Time for a connection to open to an upstream that may have terminated; one on a far link or a slow host takes some tens of ms. */
@@ -287,7 +287,7 @@
     return addressSettings.filter(name => settings[name] !== before[name])
   }
 
-  /** Starts the entry; resolves once it listens. */
+  /** Starts the entry; resolves once it listens on all its ports. */
   async start (): Promise<void> {
     const { settings, platform, metrics } = this._options
     const callers = splitAddress(settings.listen_callers)
@@ -307,7 +307,7 @@
   /** Whether the store has stopped answering. */
   get storeLost (): boolean { return this._view.storeLost }
 
-  /** Ports on which it listens, as chosen by the kernel where a setting is 0. */
+  /** Ports on which the entry listens; the kernel has chosen those whose setting is 0. */
   get ports (): { readonly callers: number, readonly ready: number, readonly peers: number } {
     return { callers: portOf(this._callers.server), ready: portOf(this._servers[0]!), peers: this._peerPort }
   }
--- a/packages/direct/src/lib/engine-holder.ts
+++ b/packages/direct/src/lib/engine-holder.ts
@@ -117,8 +117,10 @@
   private _startedAt: number | undefined
   private _waiters: Waiter[] = []
   private _admission: EngineAdmission
+  /** Whether an action of the plan is in progress. */
   private _busy = false
   private _released = false
+  /** Cancels the timer after which the plan runs again. */
   private _cancelSleep: (() => void) | undefined
 
   constructor (private readonly _options: EngineHolderOptions) {
--- a/packages/direct/src/lib/entry-settings.ts
+++ b/packages/direct/src/lib/entry-settings.ts
@@ -6,7 +6,7 @@
 import en from 'zod/v4/locales/en.js'
 import * as z from 'zod/mini'
 
-// `zod/mini` has no error messages of its own.
+// `zod/mini` has no error messages unless a language is configured.
 z.config(en())
 
 const address = z.string().check(z.regex(/^[\d.]+:\d+$/, 'An address is an IPv4 number, a colon and a port.'))
--- a/packages/direct/src/lib/exchange.ts
+++ b/packages/direct/src/lib/exchange.ts
@@ -13,7 +13,7 @@
 export interface AnswerHead {
   readonly status: number
   readonly message: string
-  /** Names and values in turn, without hop-by-hop headers. */
+  /** Header names and values in turn, without hop-by-hop headers. */
   readonly headers: string[]
   /**
    * Whether the answer declares where it ends. One that ends with its connection may have been cut short by a server
@@ -54,7 +54,7 @@
   readonly body: Buffer | undefined
   /** Whether it may be retried after a reset. */
   readonly repeatable: boolean
-  /** Time limit for the first byte of a plain answer; undefined leaves it to the caller's limits. */
+  /** Time limit for the first byte of a plain answer; if undefined, only the request's deadline applies. */
   readonly firstByteTimeout: Ms | undefined
   /** Silence before the first event after which a stream counts as stalled; undefined for other answers. */
   readonly firstEventSilence: Ms | undefined
@@ -64,7 +64,7 @@
 }
 
 /** Answers up to this size are buffered until they are complete, so that a broken one can be replaced. */
-const holdLimit = 512 * 1024
+const bufferLimit = 512 * 1024
 const badGatewayStatus = 500
 const otherInstanceStatus = 421
 const eventStream = 'text/event-stream'
@@ -80,7 +80,7 @@
   private _over = false
   private _begun = false
   private _sent = false
-  private _timer: (() => void) | undefined
+  private _cancelTimer: (() => void) | undefined
 
   constructor (
     private readonly _clock: Clock,
@@ -112,7 +112,7 @@
     this._req.destroy()
   }
 
-  /** Discards the answer but lets the upstream finish its work. */
+  /** Discards the answer but lets the upstream finish the request. */
   ignore (): void {
     if (this._over) return
     this._finish()
@@ -124,26 +124,26 @@
 
   private _finish (): void {
     this._over = true
-    this._timer?.()
+    this._cancelTimer?.()
   }
 
   private _limitFirstByte (limit: Ms | undefined): void {
-    this._timer?.()
+    this._cancelTimer?.()
     if (limit === undefined) return
-    this._timer = this._clock.after(limit, () => this._endAsLost(`No first byte within ${Math.round(limit)} ms.`))
+    this._cancelTimer = this._clock.after(limit, () => this._endAsLost(`No first byte within ${Math.round(limit)} ms.`))
   }
 
   /** Reports silence to the sink, repeatedly for as long as it lasts. */
   private _watchSilence (limit: Ms | undefined, what: string): void {
     if (limit === undefined) return
-    this._timer?.()
-    this._timer = this._clock.after(limit, () => {
+    this._cancelTimer?.()
+    this._cancelTimer = this._clock.after(limit, () => {
       this._watchSilence(limit, what)
       this._sink.stalled(`${what} within ${Math.round(limit)} ms.`)
     })
   }
 
-  /** Ends the exchange as lost: its answer can't be received any more. */
+  /** Ends the exchange as lost, since its answer can no longer be received. */
   private _endAsLost (cause: string, broke = false): void {
     if (this._over) return
     this._finish()
@@ -169,8 +169,8 @@
     }
     this._res = res
     const facts = this._codec.readAnswer(res.statusCode ?? 0, res.rawHeaders)
-    // A late answer to an earlier request can arrive in place of this one's, and the caller would get another caller's
-    // answer. The request id in the answer tells them apart.
+    // A late answer to an earlier request on the same connection can arrive in place of the answer to this one, and the
+    // caller would get another caller's answer. The request id in the answer tells them apart.
     if (facts.requestId !== undefined && facts.requestId !== this._call.id) return this._endAsLost(`The answer is to request ${facts.requestId}.`)
     this._recordIdleTimeout(res)
     if (!this._isOtherInstance(res, facts)) this._sink.noticed(facts.notice)
@@ -217,7 +217,7 @@
       if (this._begun) return this._sink.data(chunk, undefined)
       chunks.push(chunk)
       size += chunk.length
-      if (size > holdLimit) release()
+      if (size > bufferLimit) release()
     })
     res.on('end', () => this._ended(res, () => {
       if (this._begun) this._sink.end()
@@ -254,7 +254,7 @@
 
   private _ended (res: IncomingMessage, done: () => void): void {
     if (this._over) return
-    // A body that is cut short ends too; only a complete one may be passed on as complete.
+    // The event `end` also follows a body that was cut short, which must not be passed on as complete.
     if (!res.complete) return this._endAsLost('The answer was cut short.', true)
     this._finish()
     done()
--- a/packages/direct/src/lib/json-log.ts
+++ b/packages/direct/src/lib/json-log.ts
@@ -25,7 +25,7 @@
   const out = pino.destination({ dest: 1, sync: false, minLength: flushBytes, maxLength: maxBuffered })
   let droppedLines = 0
   out.on('drop', () => { droppedLines++ })
-  // A reader that goes away must not end the process; the lines for it are dropped.
+  // If the reader of standard output goes away, the process must not end; the lines are dropped.
   out.on('error', () => { droppedLines++ })
   const logger = pino({ base: { node: name }, timestamp: pino.stdTimeFunctions.epochTime }, out as DestinationStream)
   const report = (): void => {
--- a/packages/direct/src/lib/lease-renewer.ts
+++ b/packages/direct/src/lib/lease-renewer.ts
@@ -1,5 +1,5 @@
 /**
- * Renews this process's one lease at the store, and knows when it may have ended.
+ * Renews this process's one lease at the store, and detects when the lease may have ended.
  */
 import { type Clock, type Instant, instantOf, type Log, type Ms, clocksAgree, sleep } from '@hazelford/core'
 import type { Store } from '@hazelford/ports'
@@ -11,7 +11,7 @@
 const ttl: Ms = 8_000
 const renewEvery: Ms = 1_500
 const retryAfter: Ms = 300
-/** The holder stops this long before the store may end its lease, for orders in progress. */
+/** How long before the store may end the lease this process treats it as ended, so that load and unload orders in progress are over by then. */
 const expiryMargin: Ms = 1_000
 
 /** Called when the lease is granted and when it ends. */
@@ -37,9 +37,9 @@
   /**
    * Whether the lease is certain to be valid now.
    *
-   * For a process that was suspended, the monotonic clock did not advance. Another entry may hold its engines by then,
-   * and orders of both would interleave. The wall clock did advance; after a jump of it against the monotonic clock,
-   * only a renewal shows whether the lease is valid.
+   * While a process is suspended, its monotonic clock does not advance. Another entry may hold its engines by the time
+   * it continues, and orders of both would interleave. The wall clock does advance; after it has jumped against the
+   * monotonic clock, only a renewal shows whether the lease is valid.
    */
   get valid (): boolean {
     return this._lease !== undefined && this._clock.now() < this._validUntil && clocksAgree(this._renewedAt, instantOf(this._clock))
@@ -90,7 +90,7 @@
     return false
   }
 
-  /** The store counts from the arrival of the call, so counting from its sending is safe. */
+  /** Extends the lease. The store counts from the arrival of the call, so counting from its sending is safe. */
   private _extend (sentAt: Instant, granted: Ms): void {
     this._validUntil = sentAt.now + granted - expiryMargin
     // If the process was paused between the call and its answer, the lease still counts as invalid.
--- a/packages/direct/src/lib/liveness-probe.ts
+++ b/packages/direct/src/lib/liveness-probe.ts
@@ -15,11 +15,11 @@
 }
 
 /**
- * Silence after which an engine is probed. An engine that loads adapters answers orders several times a second and is
+ * Silence after which an engine is probed. An engine that loads adapters answers several orders a second, so it is
  * hardly ever probed.
  */
 const probeAfter: Ms = 400
-/** How often the silence is measured; it is noticed later by this at most. */
+/** How often the silence is measured; this is also the longest additional delay until silence is noticed. */
 const checkEvery: Ms = 200
 /**
  * Consecutive probes without an answer after which an engine counts as silent. A single one may be lost on the way.
@@ -30,14 +30,14 @@
 /**
  * Watches one engine on behalf of its holder.
  *
- * An engine that is cut off or hangs accepts requests and does not answer. Streams can't be retried, and with many
- * entries each would lose some before it detected the fault on its own. The holder receives a load request for each
- * request and can inform every entry in its answers.
+ * An engine that is cut off or hangs accepts requests and does not answer. Streams can't be retried, and each of many
+ * entries would lose some before it detected the fault on its own. The holder receives a load request for each of these
+ * requests, so its answers can inform every entry.
  */
 export class LivenessProbe {
   private _answeredAt: Ms
   private _missed = 0
-  private _timer: CancelTimer | undefined
+  private _cancelCheck: CancelTimer | undefined
   private _stopped = false
 
   constructor (private readonly _options: LivenessProbeOptions) {
@@ -50,7 +50,7 @@
 
   stop (): void {
     this._stopped = true
-    this._timer?.()
+    this._cancelCheck?.()
   }
 
   /** Records an answer of the engine. */
@@ -61,7 +61,7 @@
   }
 
   private _wait (): void {
-    this._timer = this._options.clock.after(checkEvery, () => {
+    this._cancelCheck = this._options.clock.after(checkEvery, () => {
       this._check().catch((error: Error) => this._options.log.warn('loads', 'engine probe failed.', { upstream: this._options.upstream, error: error.message }))
     })
   }
--- a/packages/direct/src/lib/membership.ts
+++ b/packages/direct/src/lib/membership.ts
@@ -11,16 +11,16 @@
  */
 const expiryGrace: Ms = 2_300
 
-/** Upstreams that are gone whose last start time is remembered; late records of them arrive within seconds. */
+/** Number of upstreams that are gone whose last start time is remembered; late records of them arrive within seconds. */
 const maxGone = 1_000
 
 /** Called when upstreams change. */
 export interface MembershipListener {
   /** Number of connections that this entry may open to an upstream of a service. */
   readonly connections: (service: string) => number
-  /** A request of this entry there has ended. */
+  /** A request of this entry at the upstream has ended. */
   readonly requestEnded: (upstream: Upstream) => void
-  /** This incarnation is gone, and all state kept for it is void. */
+  /** This incarnation is gone, and all state kept for it must be discarded. */
   readonly gone: (upstream: Upstream) => void
   /** An upstream has restarted under its id. */
   readonly restarted: (upstream: Upstream) => void
@@ -77,9 +77,9 @@
   /**
    * Applies a record.
    *
-   * An upstream may restart under its id. Taken for its former incarnation, it would be sent requests for adapters
-   * that are no longer loaded, on broken connections, and stay excluded for a failure or a drain of that incarnation.
-   * A late record of the former incarnation, from a peer or a slow read, would undo the new one.
+   * An upstream may restart under its id. If it were taken for its former incarnation, it would be sent requests for
+   * adapters that are no longer loaded, on broken connections, and would stay excluded for a failure or a drain of that
+   * incarnation. A late record of the former incarnation, from a peer or a slow read, would replace the new one.
    */
   put (record: UpstreamRecord): void {
     const known = this._upstreams.get(record.id)
@@ -131,8 +131,8 @@
   }
 
   /**
-   * Handles a record that can't be read. It was not written by an upstream, or by one of a version that this entry
-   * can't serve, so there is nothing to send requests to.
+   * Handles a record that can't be read. It was written by another process than an upstream, or by an upstream of a
+   * version that this entry does not support, so no requests can be sent there.
    */
   unreadable (id: string, revision: number, problem: string): void {
     if (this._unreadable.get(id) !== revision) this._log.warn('membership', 'record can not be read.', { upstream: id, revision, problem })
@@ -179,7 +179,7 @@
       if (goneAt > now) next = Math.min(next, goneAt)
       else if (upstream !== undefined) this._removeUpstream(upstream, 'lapsed')
     }
-    // Timers may fire a little early; a record left then would otherwise stay forever.
+    // Timers may fire a little early. Without another timer, a record that is not yet due would stay forever.
     if (next !== Infinity) this._clock.after(Math.max(1, next - now), () => this._expire())
   }
 
--- a/packages/direct/src/lib/organisation-usage.ts
+++ b/packages/direct/src/lib/organisation-usage.ts
@@ -12,7 +12,7 @@
 /**
  * Usage of a request, in the limit's unit.
  *
- * @param tokens - that the request names; undefined when it names none
+ * @param tokens - number that the request declares; undefined when it declares none
  */
 export function usageOf (limit: UsageLimit, tokens: number | undefined): number {
   return limit.unit === 'requests' ? 1 : tokens ?? limit.plainTokens
--- a/packages/direct/src/lib/peer-client.ts
+++ b/packages/direct/src/lib/peer-client.ts
@@ -13,7 +13,7 @@
 import type { UsageMessage } from './usage-coordinator.js'
 import { readUsageGrants } from './usage-messages.js'
 
-/** Margin for a peer's answer. Peers are a few ms apart; one that takes longer is cut off, frozen or gone. */
+/** Longest wait for a peer's answer, in addition to the time for which the peer may hold the call. Peers are a few ms apart; one that takes longer is cut off, frozen or gone. */
 const answerMargin: Ms = 150
 const stateTimeout: Ms = 1_000
 /** Margin for an answer with many changes over a link of 7 Mbit/s, and a watcher on a fifth of a core. */
@@ -40,7 +40,7 @@
     const loads = reply.loads ?? []
     if (reply.kind !== 'ready') return { ...reply, loads }
     const { lasts, version, ...rest } = reply
-    // The reservation runs from the reply; counting from the request is safe.
+    // The holder counts the reservation's time left from its reply; counting from the request is safe.
     return { ...rest, loads, version, until: Math.max(sentAt, now() - answerMargin) + lasts }
   }
 
@@ -65,7 +65,7 @@
   async reportUsage ({ host, port }: PeerAddress, msg: UsageMessage): Promise<readonly UsageGrant[]> {
     const { status, body } = await this._call({ host, port, method: 'POST', path: peerPaths.usage, body: msg, timeout: answerMargin })
     const grants = readUsageGrants(body)
-    if (status !== 200 || grants === undefined) throw new Error(`The keeper answered ${status}.`)
+    if (status !== 200 || grants === undefined) throw new Error(`The allocator answered ${status}.`)
     return grants
   }
 
@@ -73,7 +73,7 @@
   async reportLimits ({ host, port }: PeerAddress, msg: LimitReport): Promise<LimitReply> {
     const { status, body } = await this._call({ host, port, method: 'POST', path: peerPaths.limits, body: msg, timeout: answerMargin })
     const [grants, notices] = [readUsageGrants(body), readNotices(body)]
-    if (status !== 200 || grants === undefined || notices === undefined) throw new Error(`The keeper answered ${status}.`)
+    if (status !== 200 || grants === undefined || notices === undefined) throw new Error(`The allocator answered ${status}.`)
     return { grants, notices }
   }
 
@@ -87,7 +87,7 @@
     return status === 200 && typeof version === 'number' && typeof viewAge === 'number' ? { version, viewAge } : undefined
   }
 
-  /** Checks that a peer answers; rejects when it does not. */
+  /** Rejects when a peer does not answer. */
   async ping ({ host, port }: PeerAddress): Promise<void> {
     await this._call({ host, port, method: 'GET', path: peerPaths.ping, timeout: answerMargin })
   }
--- a/packages/direct/src/lib/peer-follower.ts
+++ b/packages/direct/src/lib/peer-follower.ts
@@ -17,13 +17,13 @@
   readonly age: () => Ms
   /** Longest ms between two answers of a healthy store. */
   readonly maxAnswerInterval: () => Ms
-  /** `asked`: when the request was sent to the peer. */
+  /** Applies a peer's state; `asked`: when the state was requested. */
   readonly apply: (state: PeerState, asked: Instant) => void
 }
 
 /** Margin beyond the longest interval between two answers of a healthy store, after which the view counts as stale. */
 const staleMargin: Ms = 300
-/** A change must be in force 2 s after it was accepted; one request in this time keeps within that. */
+/** Interval of requests for a peer's state: short enough that a change is in force 2 s after it was accepted. */
 const followEvery: Ms = 600
 
 /**
@@ -66,7 +66,7 @@
       log.info('peers', 'no state.', { peer: peer.node, cause: error.message })
       return undefined
     })
-    // A peer without a recent answer of the store has no better view; it may even be older.
+    // A peer that has no recent answer of the store either has no better view; its view may even be older.
     if (this._stopped || state === undefined || state.age >= Math.min(this._staleAfter, age())) return
     if (!this._following) log.info('peers', 'followed.', { peer: peer.node, age: Math.round(state.age), ownAge: Math.round(age()), version: state.config.version })
     this._following = true
--- a/packages/direct/src/lib/peer-state.ts
+++ b/packages/direct/src/lib/peer-state.ts
@@ -28,7 +28,7 @@
   readonly viewAge: Ms
 }
 
-/** Time in which the store answers an entry that starts, if it answers at all. */
+/** Time within which the store answers an entry that starts, if it answers at all. */
 const storeGrace: Ms = 700
 const retryPause: Ms = 500
 
@@ -42,8 +42,8 @@
  * @param client - calls them
  * @param clock - for the pauses
  * @param log - for peers that don't answer
- * @param known - whether the store has answered meanwhile
- * @param take - applies a peer's state
+ * @param known - whether the store has answered
+ * @param apply - applies a peer's state
  */
 export async function fetchStateFromPeers (
   seeds: readonly { readonly host: string, readonly port: number }[],
--- a/packages/direct/src/lib/peer-suspects.ts
+++ b/packages/direct/src/lib/peer-suspects.ts
@@ -4,7 +4,7 @@
 import type { Clock, Ms } from '@hazelford/core'
 import type { PeerAddress } from './peer-table.js'
 
-/** What is needed to detect that an entry answers again. */
+/** What the suspects' pings need of the entry. */
 export interface PeerSuspectsOptions {
   readonly clock: Clock
   /** All entries that are running. */
--- a/packages/direct/src/lib/peer-table.ts
+++ b/packages/direct/src/lib/peer-table.ts
@@ -37,15 +37,15 @@
     const isAddress = typeof node === 'string' && node !== '' && typeof host === 'string' && isIPv4(host) && Number.isInteger(port) && port! > 0 && port! < 65_536
     return isAddress ? { node, host, port: port!, ...(typeof zone === 'string' ? { zone } : {}) } : undefined
   } catch {
-    // Not written by this version of the program, so the record has no address that could be called.
+    // Not written by this version of the program, so the record has no address that this entry could call.
     return undefined
   }
 }
 
 /**
  * Time for which an entry that is no longer listed still counts. During a long outage of the store all leases expire,
- * and entries register again within a second or two of its return. Counted by the list alone, each entry would take
- * the whole of what they share.
+ * and entries register again within a second or two of its return. If only listed entries counted, each entry would
+ * take the whole of the limits that they share.
  */
 const leftEntryTtl: Ms = 5_000
 
@@ -60,12 +60,12 @@
   /** Revisions of holders' keys that can't be read. */
   private readonly _unreadable = new Map<string, number>()
 
-  /** @param _changed - called after each change */
+  /** @param _changed - called after each change of entries or holders */
   constructor (private readonly _clock: Clock, private readonly _changed: () => void) {}
 
   get entries (): readonly PeerAddress[] { return [...this._entries.values()] }
 
-  /** Number of entries that share bounds: those listed, this one included once it has registered, and those listed until lately. */
+  /** Number of entries that share limits: those that are listed, this one included once it has registered, and those that were listed lately. */
   get entryCount (): number {
     const now = this._clock.now()
     for (const [node, since] of this._left) if (now - since >= leftEntryTtl) this._left.delete(node)
@@ -84,8 +84,8 @@
   /**
    * Revision on which a claim of an engine must be based; 0 when the key does not exist.
    *
-   * A key that can't be read names no holder. Claimed as if the key were absent, the engine would stay without orders
-   * for as long as the key exists.
+   * A key that can't be read names no holder. If the claim were based on revision 0, the store would reject it, and the
+   * engine would stay without load and unload orders for as long as the key exists.
    */
   holderRevision (upstream: string): number { return this._holders.get(upstream)?.fence ?? this._unreadable.get(upstream) ?? 0 }
 
@@ -131,7 +131,7 @@
     else if (key.startsWith(holdersPrefix)) this._setHolder(key.slice(holdersPrefix.length), { ...address, fence: revision })
   }
 
-  /** Such a record names no entry that could be called. */
+  /** Handles a record that can't be read: it names no entry that could be called. */
   private _putUnreadable (key: string, revision: number): void {
     this._remove(key)
     if (key.startsWith(holdersPrefix)) this._unreadable.set(key.slice(holdersPrefix.length), revision)
--- a/packages/direct/src/lib/request-fingerprint.ts
+++ b/packages/direct/src/lib/request-fingerprint.ts
@@ -16,7 +16,7 @@
   readonly adapter: string | undefined
 }
 
-/** 128 bits: no two of the requests of any day collide. */
+/** 128 bits, so that the fingerprints of no two requests of a day collide. */
 const fingerprintHexDigits = 32
 const noBody = Buffer.alloc(0)
 
--- a/packages/direct/src/lib/request-intake.ts
+++ b/packages/direct/src/lib/request-intake.ts
@@ -32,13 +32,13 @@
   readonly codec: CallCodec
   /** The configuration in force; undefined when none is known. */
   readonly table: () => RouteTable | undefined
-  /** Whether new requests are refused, since the entry ends soon. */
+  /** Whether new requests are refused, since the entry stops soon. */
   readonly refusing: () => boolean
   readonly verifier: ConfigVerifier
   readonly viewAge: () => Ms
   /** Ms within which an accepted change must be in force. */
   readonly applyWithin: () => Ms
-  /** Takes a request's usage; synchronous where no allocator has to be asked. */
+  /** Takes a request's usage from its organisation's credit; synchronous unless the request has to wait for credit. */
   readonly admit: (organisation: Organisation, tokens: number | undefined) => Admission | Promise<Admission>
   readonly relay: (admitted: AdmittedCall) => void
 }
@@ -46,7 +46,7 @@
 const noConfigRetryAfter: Ms = 500
 /** Short, since another entry can run the request at once. */
 const shutdownRetryAfter: Ms = 20
-/** Another entry may have a fresh configuration. */
+/** Short, since another entry may have a fresh configuration. */
 const unverifiedRetryAfter: Ms = 300
 
 /** Handles requests of callers. */
@@ -163,8 +163,8 @@
       incoming.answer.fail({ kind: 'over-limit', organisation: organisation.name, retryAfter })
     }
     const admission = admit(organisation, facts.declaresTokens ? facts.promptTokens + facts.maxOutputTokens : undefined)
-    // Decided in the same turn of the event loop in which the request was read, so the close of its connection can't
-    // have been missed.
+    // This is the turn of the event loop in which the request was read, so a close of its connection can't have been
+    // missed.
     if (!(admission instanceof Promise)) decided(admission)
     else admission.then(decided, (error: Error) => log.warn('request', 'usage not charged.', { request: facts.id, error: error.message }))
   }
--- a/packages/direct/src/lib/store-mirror.ts
+++ b/packages/direct/src/lib/store-mirror.ts
@@ -45,7 +45,7 @@
 
 /**
  * Longest wait of a watch by an entry that other entries follow. They judge its view by the time of the store's last
- * answer, so they notice the sooner that it no longer receives changes.
+ * answer; with a shorter wait they notice sooner that it no longer receives changes.
  */
 const servedWatchWait: Ms = 600
 
--- a/packages/direct/src/lib/upstream.ts
+++ b/packages/direct/src/lib/upstream.ts
@@ -8,10 +8,10 @@
 import type { EngineLoad } from './engine-admission.js'
 import type { RecentLoadsUpdate } from './recent-loads.js'
 
-/** Age at which a report on its load is no better than a guess: streams of some seconds then fill other batch slots. */
+/** Age from which a report on an upstream's load is no better than a guess: streams take some seconds, so other requests occupy the batch slots by then. */
 const loadTtl: Ms = 2_000
 
-/** Adapters whose copies an engine keeps in its host's memory. */
+/** Number of adapters whose copies an engine keeps in its host's memory. */
 const recentCapacity = 120
 
 /** What is known of an upstream, and the requests of this entry there. */
@@ -19,11 +19,11 @@
   readonly health = new UpstreamHealth()
   readonly notices = new UpstreamNotices()
   readonly pool: ConnectionPool
-  /** Requests of this entry there. */
+  /** Number of this entry's open requests at the upstream. */
   outstanding = 0
   private _leavesAt: Ms = Infinity
   private _load: EngineLoad & { readonly at: Ms } | undefined
-  /** Prompts sent since its load was counted, which does not include them. */
+  /** Prompts sent since the load was counted, and therefore not included in it. */
   private _sends: { readonly at: Ms, readonly tokens: number }[] = []
   private _changedAt: Ms = -Infinity
   private _reportedAt: Ms = -Infinity
@@ -36,9 +36,9 @@
 
   /**
    * @param _record - as the upstream wrote it to the store
-   * @param _clock - for ages
-   * @param maxConnections - of this entry
-   * @param _requestEnded - called when a request of this entry there has ended, or a batch slot was not used
+   * @param _clock - to compute ages
+   * @param maxConnections - limit on this entry's connections to the upstream
+   * @param _requestEnded - called when a request of this entry at the upstream has ended, or a batch slot was not used
    */
   constructor (private _record: UpstreamRecord, private readonly _clock: Clock, maxConnections: number, private readonly _requestEnded: (upstream: Upstream) => void = () => {}) {
     this.pool = new ConnectionPool(_clock, { host: _record.host, port: _record.port, maxConnections })
@@ -69,7 +69,7 @@
     return this._load !== undefined && this._clock.now() - this._load.at < loadTtl ? this._load : undefined
   }
 
-  /** Requests that all entries have there; undefined without a fresh report. */
+  /** Number of requests that all entries have at the upstream; undefined without a fresh report. */
   get running (): number | undefined {
     const load = this._knownLoad
     return load === undefined ? undefined : Math.max(this.outstanding, load.running + this._sends.length)
@@ -83,7 +83,7 @@
     return Math.max(0, load.promptBacklog + sent - (this._clock.now() - load.at) * promptTokensPerMs)
   }
 
-  /** Records a prompt on its way there. */
+  /** Records a prompt that is being sent to the upstream. */
   recordPrompt (tokens: number): void {
     const at = this._clock.now()
     this._sends = this._sends.filter(send => at - send.at < loadTtl)
@@ -108,10 +108,10 @@
   get uses (): readonly string[] { return [...this._uses.keys()] }
 
   /**
-   * Records a request there.
+   * Records a request that is sent to the upstream.
    *
    * @param adapter - `model/adapter`, if it uses one
-   * @returns records its end
+   * @returns a function that records the end of the request
    */
   open (adapter: string | undefined): () => void {
     this.outstanding++
@@ -146,10 +146,10 @@
   get record (): UpstreamRecord { return this._record }
   get id (): string { return this._record.id }
 
-  /** When it will be gone, if it leaves at short notice. */
+  /** When the upstream will be gone, if it has announced a time; infinite otherwise. */
   get leavesAt (): Ms { return this._leavesAt }
 
-  /** Applies its own notice that it leaves, which the store may not have yet. */
+  /** Applies the upstream's own notice that it leaves, which may not be in the store yet. */
   leave (): void {
     this.notices.recordLeaving()
     this._record = { ...this._record, state: 'draining' }
@@ -162,7 +162,7 @@
     this._recordAdapters()
   }
 
-  /** Number of its recent loads that this entry has received. */
+  /** Number of the engine's recent loads that this entry has received; see {@link RecentLoadsUpdate}. */
   get heard (): number { return this._receivedLoads }
 
   /** Applies its holder's report on loads that its record may not show. */
