--- a/packages/direct/src/lib/caller-answer.ts
+++ b/packages/direct/src/lib/caller-answer.ts
@@ -1,5 +1,5 @@
 /**
- * Writes the one answer to a caller.
+ * Writes the single answer to a caller's request.
  */
 import type { ServerResponse } from 'node:http'
 import type { Ms } from '@hazelford/core'
--- a/packages/direct/src/lib/caller-server.ts
+++ b/packages/direct/src/lib/caller-server.ts
@@ -32,7 +32,10 @@
 /** How often slow and idle connections are checked. */
 const checkEvery: Ms = 500
 const defaultHeaderBytes = 16 * 1024
-/** Time for which idle connections are kept beyond the configured limit, for requests that are on their way when the limit is reached. */
+/**
+ * Time for which idle connections are kept beyond the configured limit, for requests that are on their way when the
+ * limit is reached.
+ */
 const idleSlack: Ms = 500
 const backlog = 1_024
 
--- a/packages/direct/src/lib/config-verifier.ts
+++ b/packages/direct/src/lib/config-verifier.ts
@@ -7,11 +7,16 @@
 export interface ConfigVerifierOptions {
   readonly clock: Clock
   readonly log: Log
-  /** Ms after the withdrawal of a key within which every entry must refuse it; 0 lets an entry go on with the configuration that it has. */
+  /**
+   * Ms after the withdrawal of a key within which every entry must refuse it; 0 lets an entry go on with the
+   * configuration that it has.
+   */
   readonly withdrawWithin: () => Ms
   /** Ms for which the configuration may have changed without this entry knowing. */
   readonly viewAge: () => Ms
-  /** Queries the store and some peers at once; each promise resolves when the answer has been applied or none has come. */
+  /**
+   * Queries the store and some peers at once; each promise resolves when the answer has been applied or none has come.
+   */
   readonly query: () => readonly Promise<void>[]
 }
 
--- a/packages/direct/src/lib/credit-queue.ts
+++ b/packages/direct/src/lib/credit-queue.ts
@@ -45,7 +45,10 @@
 const longestWait: Ms = 1_000
 /** Shortest time after which a refused caller is asked to return. */
 const minRetryAfter: Ms = 100
-/** Spread of the times at which refused callers are asked to return, as a share of the wait, so that they don't return together. */
+/**
+ * Spread of the times at which refused callers are asked to return, as a share of the wait, so that they don't return
+ * together.
+ */
 const retrySpread = 0.5
 
 /** Credit of some accounts at one entry. At most one report is in progress at a time. */
--- a/packages/direct/src/lib/direct-entry.ts
+++ b/packages/direct/src/lib/direct-entry.ts
@@ -42,7 +42,10 @@
   readonly settleTime?: Ms
 }
 
-/** Share of an upstream's connections that the listed entries use together; the rest is for entries that are not listed yet. */
+/**
+ * Share of an upstream's connections that the listed entries use together; the rest is for entries that are not listed
+ * yet.
+ */
 const connectionShare = 0.9
 const defaultConnections = 100
 /**
--- a/packages/direct/src/lib/engine-coordinator.ts
+++ b/packages/direct/src/lib/engine-coordinator.ts
@@ -66,7 +66,10 @@
   private readonly _listedSince = new Map<string, Ms>()
   private _claiming = false
   private _handingOver = false
-  /** Fencing numbers of engines that were handed over, for as long as this entry's view of the store still lists it as their holder. */
+  /**
+   * Fencing numbers of engines that were handed over, for as long as this entry's view of the store still lists this
+   * entry as their holder.
+   */
   private readonly _handedOverFences = new Map<string, number>()
   private _lastHandoverAt: Ms = -Infinity
   private _timer: CancelTimer | undefined
@@ -106,12 +109,18 @@
     this.releaseAll()
   }
 
-  /** Notifies the holder of an engine that has restarted under its id: it has no adapters loaded and counts orders from 0 again. */
+  /**
+   * Notifies the holder of an engine that has restarted under its id: it has no adapters loaded and counts orders from
+   * 0 again.
+   */
   restarted (upstream: Upstream): void {
     this._holders.get(upstream.id)?.restart(upstream.record.startedAt, this._options.control(upstream))
   }
 
-  /** Compares the engines held here with the store after a short delay, so that changes that arrive together are handled in one run. */
+  /**
+   * Compares the engines held here with the store after a short delay, so that changes that arrive together are handled
+   * in one run.
+   */
   scheduleReconcile (): void {
     if (this._timer !== undefined) return
     this._timer = this._options.clock.after(20, () => {
--- a/packages/direct/src/lib/engine-holder.ts
+++ b/packages/direct/src/lib/engine-holder.ts
@@ -23,14 +23,18 @@
   | 'its holder does not answer'
   | 'nobody orders this engine'
 
-/** A holder's answer to a load request: the adapter is usable, is being loaded, or is not available at this engine now. */
+/**
+ * A holder's answer to a load request: the adapter is usable, is being loaded, or is not available at this engine now.
+ */
 export type LoadRequestOutcome = LoadRequestAnswer & { readonly news?: RecentLoadsUpdate }
 
 type LoadRequestAnswer =
   /** `atDoor`: ms of this call that the prompt waited for admission after its adapter was loaded. */
   | Readiness & { readonly kind: 'ready', readonly load?: EngineLoad, readonly atDoor?: Ms }
   | { readonly kind: 'coming', readonly atDoor?: Ms }
-  /** `line`: number of adapters that already wait for an adapter slot there, or of requests that wait for a batch slot. */
+  /**
+   * `line`: number of adapters that already wait for an adapter slot there, or of requests that wait for a batch slot.
+   */
   | { readonly kind: 'unavailable', readonly cause: UnavailableCause, readonly line?: number, readonly load?: EngineLoad }
 
 /** What an entry requests of a holder. */
@@ -56,7 +60,10 @@
   readonly outstanding: number
   /** The request's prompt, to be admitted when the engine can read it; undefined requests the adapter alone. */
   readonly prompt?: { readonly request: string, readonly tokens: number, readonly dueIn: Ms }
-  /** Streams that ended at this engine since the entry's last report, and how many of them had a pause above the route's target. */
+  /**
+   * Streams that ended at this engine since the entry's last report, and how many of them had a pause above the route's
+   * target.
+   */
   readonly streams: number
   readonly paused: number
   /** Number of recent loads of the engine that the entry has received; see {@link RecentLoads}. */
@@ -231,7 +238,10 @@
     this._runPlan()
   }
 
-  /** Answers all waiting load requests with the engine's backoff, since no order may be sent to the engine until the backoff ends. */
+  /**
+   * Answers all waiting load requests with the engine's backoff, since no order may be sent to the engine until the
+   * backoff ends.
+   */
   startBackoff (): void {
     for (const waiter of [...this._waiters]) this._settle(waiter, backoffAnswer)
   }
--- a/packages/direct/src/lib/entry-settings.ts
+++ b/packages/direct/src/lib/entry-settings.ts
@@ -41,7 +41,7 @@
   /** Ms within which an accepted change of the configuration must be in force; also limits how often the store is polled. */
   apply_within_ms: z._default(atLeast(100), 2_000),
   /**
-   * Ms after its withdrawal within which a key is refused at every entry, also one that is cut off; 0 lets such an
+   * Ms after the withdrawal of a key within which every entry refuses it, also an entry that is cut off; 0 lets such an
    * entry go on with the configuration that it has.
    */
   withdraw_within_ms: z._default(atLeast(0), 0),
--- a/packages/direct/src/lib/lease-renewer.ts
+++ b/packages/direct/src/lib/lease-renewer.ts
@@ -11,7 +11,10 @@
 const ttl: Ms = 8_000
 const renewEvery: Ms = 1_500
 const retryAfter: Ms = 300
-/** How long before the store may end the lease this process treats it as ended, so that load and unload orders in progress are over by then. */
+/**
+ * How long before the store may end the lease this process treats it as ended, so that load and unload orders in
+ * progress are over by then.
+ */
 const expiryMargin: Ms = 1_000
 
 /** Called when the lease is granted and when it ends. */
--- a/packages/direct/src/lib/load-digest.ts
+++ b/packages/direct/src/lib/load-digest.ts
@@ -12,9 +12,9 @@
 }
 
 /**
- * Largest number of digests in one message. With six messages a second in each direction, as for an entry of 68, an entry receives the
- * load of each of 84 engines about once a second. Sixteen digests, each with its field names, more than doubled the
- * bytes sent between zones (62 to 143 MB in 50 s of 28 entries).
+ * Largest number of digests in one message. With six messages a second in each direction, as for an entry of 68, an
+ * entry receives the load of each of 84 engines about once a second. Sixteen digests, each with its field names, more
+ * than doubled the bytes sent between zones (62 to 143 MB in 50 s of 28 entries).
  */
 export const maxDigestsPerMessage = 8
 
--- a/packages/direct/src/lib/notice-coordinator.ts
+++ b/packages/direct/src/lib/notice-coordinator.ts
@@ -46,7 +46,10 @@
 const minRate = 0.05
 /** Time over which the entries that receive an upstream's notice of leaving spread their messages about it. */
 const notifySpread: Ms = 150
-/** Largest number of upstreams in one message. When more have given notices, each message starts at a random one of them. */
+/**
+ * Largest number of upstreams in one message. When more have given notices, each message starts at a random one of
+ * them.
+ */
 const maxRows = 200
 /** Pause before credit of an upstream is requested again from an allocator that does not know the upstream yet. */
 const unknownUpstreamPause: Ms = 500
@@ -129,7 +132,10 @@
     return limited
   }
 
-  /** The latest notices of upstreams. Limits that have ended are included, since another entry may not know that they have. */
+  /**
+   * The latest notices of upstreams. Limits that have ended are included, since another entry may not know that they
+   * have.
+   */
   private _noticeRows (): readonly NoticeRow[] {
     const { upstreams, random = Math.random } = this._options
     const announcing = [...upstreams.all()].filter(({ notices }) => notices.leaving || notices.limit.everNamed)
--- a/packages/direct/src/lib/peer-client.ts
+++ b/packages/direct/src/lib/peer-client.ts
@@ -13,7 +13,10 @@
 import type { UsageMessage } from './usage-coordinator.js'
 import { readUsageGrants } from './usage-messages.js'
 
-/** Longest wait for a peer's answer, in addition to the time for which the peer may hold the call. Peers are a few ms apart; one that takes longer is cut off, frozen or gone. */
+/**
+ * Longest wait for a peer's answer, in addition to the time for which the peer may hold the call. Peers are a few ms
+ * apart; one that takes longer is cut off, frozen or gone.
+ */
 const answerMargin: Ms = 150
 const stateTimeout: Ms = 1_000
 /** Margin for an answer with many changes over a link of 7 Mbit/s, and a watcher on a fifth of a core. */
--- a/packages/direct/src/lib/peer-state.ts
+++ b/packages/direct/src/lib/peer-state.ts
@@ -10,7 +10,9 @@
 export interface PeerState {
   /** Ms since the store last answered the peer. */
   readonly age: Ms
-  /** Ms for which the peer's view may have missed a change; undefined from an entry of a version that does not send it. */
+  /**
+   * Ms for which the peer's view may have missed a change; undefined from an entry of a version that does not send it.
+   */
   readonly viewAge?: Ms
   readonly config: RouteConfig
   readonly versions: readonly AdapterVersion[]
--- a/packages/direct/src/lib/peer-table.ts
+++ b/packages/direct/src/lib/peer-table.ts
@@ -65,7 +65,10 @@
 
   get entries (): readonly PeerAddress[] { return [...this._entries.values()] }
 
-  /** Number of entries that share limits: those that are listed, this one included once it has registered, and those that were listed lately. */
+  /**
+   * Number of entries that share limits: those that are listed, this one included once it has registered, and those
+   * that were listed lately.
+   */
   get entryCount (): number {
     const now = this._clock.now()
     for (const [node, since] of this._left) if (now - since >= leftEntryTtl) this._left.delete(node)
--- a/packages/direct/src/lib/placer.ts
+++ b/packages/direct/src/lib/placer.ts
@@ -44,9 +44,15 @@
 const maxQueues = 3
 /** Number of upstreams tried for one request, including those without a holder now. */
 const maxTried = 8
-/** Weight of an engine's latency in the ranking. Less than 1, since first events are late for many temporary reasons; a lasting difference still counts. */
+/**
+ * Weight of an engine's latency in the ranking. Less than 1, since first events are late for many temporary reasons; a
+ * lasting difference still counts.
+ */
 const engineLatencyShare = 0.5
-/** Pause between two attempts of a queued request: a holder may answer at once, and without a pause the attempts would be a busy loop. */
+/**
+ * Pause between two attempts of a queued request: a holder may answer at once, and without a pause the attempts would
+ * be a busy loop.
+ */
 const queuePause: Ms = 100
 /** Half-life of an adapter's popularity: how fast a change of demand changes its number of replicas. */
 const popularityHalfLife: Ms = 5_000
@@ -141,7 +147,10 @@
     return query.want === undefined ? this._placePlain(ranked) : this._placeAdapter(query, query.want, ranked.slice(0, maxTried))
   }
 
-  /** The result when no upstream is open; `retryAfter` is the time until the first upstream in backoff can be tried again, if there is one. */
+  /**
+   * The result when no upstream is open; `retryAfter` is the time until the first upstream in backoff can be tried
+   * again, if there is one.
+   */
   private _unplaced ({ service, avoid }: PlacementQuery): Placement {
     const backoffs = this._options.members.serving(service).filter(({ id }) => !avoid.has(id)).map(({ notices }) => notices.backoffUntil - this._now)
     const backoff = Math.min(...backoffs.filter(left => left > 0))
@@ -166,7 +175,10 @@
     return retryAfter === Infinity ? { kind: 'unplaced', cause: 'no-upstream' } : { kind: 'unplaced', cause: 'upstream-limit', retryAfter }
   }
 
-  /** Places a request at the first candidate that can provide the adapter, else queues at the candidates in turn, the shortest queue first. */
+  /**
+   * Places a request at the first candidate that can provide the adapter, else queues at the candidates in turn, the
+   * shortest queue first.
+   */
   private async _placeAdapter (query: PlacementQuery, want: RequestedAdapter, candidates: readonly Upstream[]): Promise<Placement> {
     const startedAt = this._now
     const placed = await this._placeAtOne(query, want, candidates)
--- a/packages/direct/src/lib/relay-runner.ts
+++ b/packages/direct/src/lib/relay-runner.ts
@@ -30,7 +30,10 @@
   readonly budgetLimits: () => SharedBudgetLimits
 }
 
-/** Shortest Retry-After of a failed request: long enough for an ejection or a load to complete, short compared with any caller's longest wait. */
+/**
+ * Shortest Retry-After of a failed request: long enough for an ejection or a load to complete, short compared with any
+ * caller's longest wait.
+ */
 const retryAfterBase: Ms = 150
 const retryAfterSpread: Ms = 250
 
--- a/packages/direct/src/lib/relay-task.ts
+++ b/packages/direct/src/lib/relay-task.ts
@@ -79,7 +79,10 @@
 const streamSilence: Ms = 1_500
 /** Silence between events after which a resumable stream is resumed at another upstream. */
 const gapSilence: Ms = 900
-/** A plain request whose answer takes this many times the route's latency target is sent to another upstream, if it may be retried. */
+/**
+ * A plain request whose answer takes this many times the route's latency target is sent to another upstream, if it may
+ * be retried.
+ */
 const slowFactor = 3
 const slowFloor: Ms = 250
 /** Share of the remaining time that a request may wait for its adapter; the rest is for its answer. */
--- a/packages/direct/src/lib/serve-peers.ts
+++ b/packages/direct/src/lib/serve-peers.ts
@@ -16,9 +16,15 @@
 
 /** Longest time that a poll for changes is held open. */
 const longestFeedWait: Ms = 2_000
-/** Largest request body. An entry may have requests open on some hundred adapters of an engine, and report as many upstreams. */
+/**
+ * Largest request body. An entry may have requests open on some hundred adapters of an engine, and report as many
+ * upstreams.
+ */
 const maxBody = 128 * 1024
-/** Size in bytes from which answers are compressed: on a slow link, a large configuration would take longer than its callers wait. */
+/**
+ * Size in bytes from which answers are compressed: on a slow link, a large configuration would take longer than its
+ * callers wait.
+ */
 const compressFrom = 16 * 1024
 
 const compress = promisify(gzip)
--- a/packages/direct/src/lib/store-follower.ts
+++ b/packages/direct/src/lib/store-follower.ts
@@ -17,7 +17,10 @@
   readonly bound: () => Ms
 }
 
-/** How long a watcher holds a poll open when there are no changes. A watcher that has crashed is noticed by the call's timeout, a little later. */
+/**
+ * How long a watcher holds a poll open when there are no changes. A watcher that has crashed is noticed by the call's
+ * timeout, a little later.
+ */
 const longestWait: Ms = 400
 /** How long a watcher that failed, or had a stale view, is skipped. */
 const skipFor: Ms = 3_000
--- a/packages/direct/src/lib/upstream.ts
+++ b/packages/direct/src/lib/upstream.ts
@@ -8,7 +8,10 @@
 import type { EngineLoad } from './engine-admission.js'
 import type { RecentLoadsUpdate } from './recent-loads.js'
 
-/** Age from which a report on an upstream's load is no better than a guess: streams take some seconds, so other requests occupy the batch slots by then. */
+/**
+ * Age from which a report on an upstream's load is no better than a guess: streams take some seconds, so other requests
+ * occupy the batch slots by then.
+ */
 const loadTtl: Ms = 2_000
 
 /** Number of adapters whose copies an engine keeps in its host's memory. */
--- a/packages/direct/src/lib/usage-coordinator.ts
+++ b/packages/direct/src/lib/usage-coordinator.ts
@@ -116,7 +116,10 @@
     return now - (this._limitedSince ?? now) < startupGrace && now - this._peerReportAt > reportTtl
   }
 
-  /** Whether to report: also for a while after the last limit has ended, since other entries may still apply it and learn of its end by these reports. */
+  /**
+   * Whether to report: also for a while after the last limit has ended, since other entries may still apply it and
+   * learn of its end by these reports.
+   */
   private get _isNeeded (): boolean { return this._limits.size > 0 || this._options.clock.now() - this._endedAt < reportAfterEnd }
 
   private get _shards (): number { return Math.max(1, Math.ceil(this._limits.size / accountsPerAllocator)) }
@@ -176,7 +179,10 @@
     })
   }
 
-  /** Adds default grants for rows that the answer left out. In the answer to a second report they would be missing again. */
+  /**
+   * Adds default grants for rows that the answer left out. In the answer to a second report they would be missing
+   * again.
+   */
   private _complete ({ rows }: UsageReport, grants: readonly UsageGrant[]): readonly UsageGrant[] {
     const granted = new Set(grants.map(({ account }) => account))
     const missing = rows.filter(({ account }) => !granted.has(account))
