--- a/packages/direct/src/lib/peer-state.ts
+++ b/packages/direct/src/lib/peer-state.ts
@@ -10,7 +10,9 @@
 export interface PeerState {
   /** Ms since the store last answered the peer. */
   readonly age: Ms
-  /** Ms since which the peer's view may have missed a change; undefined from an entry of a version that does not send it. */
+  /**
+   * Ms for which the peer's view may have missed a change; undefined from an entry of a version that does not send it.
+   */
   readonly viewAge?: Ms
   readonly config: RouteConfig
   readonly versions: readonly AdapterVersion[]
@@ -24,11 +26,11 @@
 /** How current an entry's configuration is. */
 export interface ConfigAge {
   readonly version: number
-  /** Ms since which it may have changed without the entry knowing. */
+  /** Ms for which it may have changed without the entry knowing. */
   readonly viewAge: Ms
 }
 
-/** Time in which the store answers an entry that starts, if it answers at all. */
+/** Time within which the store answers an entry that starts, if it answers at all. */
 const storeGrace: Ms = 700
 const retryPause: Ms = 500
 
@@ -42,8 +44,8 @@
  * @param client - calls them
  * @param clock - for the pauses
  * @param log - for peers that don't answer
- * @param known - whether the store has answered meanwhile
- * @param take - applies a peer's state
+ * @param known - whether the store has answered
+ * @param apply - applies a peer's state
  */
 export async function fetchStateFromPeers (
   seeds: readonly { readonly host: string, readonly port: number }[],
