--- a/packages/sidecar/src/lib/adapter-slots.ts
+++ b/packages/sidecar/src/lib/adapter-slots.ts
@@ -46,14 +46,14 @@
   /** Loads an adapter under a new name. */
   async load (adapter: AdapterKey): Promise<LoadResult> {
     const { engine, fence, clock, events, upstream, log } = this._options
-    const from = clock.now()
+    const startedAt = clock.now()
     if (!await this._maySendOrder()) return { loaded: false, took: 0 }
     const name = formatEngineName({ adapter, number: fence.number, generation: ++this._generation })
     events.add('load-started', { adapter, upstream })
     this._orderCount++
     const outcome = await engine.load(name, adapter.replace('@', '/'), fence.number)
     this._orderCount++
-    const took = clock.now() - from
+    const took = clock.now() - startedAt
     events.add('load-ended', { adapter, upstream, note: outcome })
     if (outcome === 'done') this._names.set(adapter, name)
     else log.warn('loads', 'adapter load failed.', { adapter, outcome })
@@ -79,7 +79,7 @@
    * unloads those that are not used.
    *
    * @returns the adapters that can be served, or undefined when the engine did not answer
-   * or a load or unload order was running
+   * or a load or unload order ran at the same time
    */
   async list (): Promise<readonly AdapterKey[] | undefined> {
     await this._announce()
--- a/packages/sidecar/src/lib/channel-server.ts
+++ b/packages/sidecar/src/lib/channel-server.ts
@@ -67,7 +67,7 @@
       streams.add(stream)
       const handler = options.accept(openConnection(stream, options))
       let isClosed = false
-      const end = (): void => {
+      const handleClosed = (): void => {
         if (isClosed) return
         isClosed = true
         streams.delete(stream)
@@ -78,10 +78,10 @@
         if (batch.hlc !== undefined) options.hlc.observe(batch.hlc)
         for (const frame of batch.frames) handler.frame(frame)
       })
-      stream.on('end', end)
-      stream.on('error', end)
-      stream.on('cancelled', end)
-      stream.on('close', end)
+      stream.on('end', handleClosed)
+      stream.on('error', handleClosed)
+      stream.on('cancelled', handleClosed)
+      stream.on('close', handleClosed)
     }
   })
   const credentials = options.credentials ?? ServerCredentials.createInsecure()
--- a/packages/sidecar/src/lib/claims.ts
+++ b/packages/sidecar/src/lib/claims.ts
@@ -19,7 +19,7 @@
   /** Identifies the attempt that holds the key. */
   readonly token: string
   readonly sidecar: string
-  /** Incarnation of the sidecar that holds the key: after a restart it can't know which calls it had begun. */
+  /** Incarnation of the sidecar that holds the key: after a restart a sidecar can't know which calls it had begun. */
   readonly incarnation: string
   /** Digest of method, path and body, so that a key can't be reused for a different call. */
   readonly digest: string
@@ -71,7 +71,7 @@
 const recordWaitMs: Ms = 300
 const absencesToConfirm = 4
 const keptBodyLimit = 64 * 1024
-/** How long a claim of another sidecar counts as running before its outcome counts as unknown. */
+/** How long the call of another sidecar's claim counts as running before its outcome counts as unknown. */
 const runningElsewhereMs: Ms = 60_000
 
 /**
@@ -108,10 +108,10 @@
    * @param digest - digest of the call
    */
   async claim (key: string, digest: string): Promise<ClaimOutcome> {
-    const known = this._localClaims.get(key)
-    if (known !== undefined) {
-      if (known.digest !== digest) return { kind: 'other-call' }
-      return { kind: 'running-here', answer: known.answered }
+    const existing = this._localClaims.get(key)
+    if (existing !== undefined) {
+      if (existing.digest !== digest) return { kind: 'other-call' }
+      return { kind: 'running-here', answer: existing.answered }
     }
     const localClaim = createLocalClaim(newId('claim'), digest)
     this._localClaims.set(key, localClaim)
--- a/packages/sidecar/src/lib/entry-session.ts
+++ b/packages/sidecar/src/lib/entry-session.ts
@@ -15,7 +15,7 @@
 
   get connected (): boolean { return this._link !== undefined }
 
-  /** Sends a frame. Without a connection it is not sent; the request keeps its answer and sends it after the reconnect. */
+  /** Sends a frame to the entry. Without a connection the frame is discarded: the request keeps its answer and sends it after the reconnect. */
   send = (frame: SidecarFrame): void => { this._link?.send(frame) }
 
   /** Sends a chunk, in the same way as {@link EntrySession.send}. */
@@ -27,7 +27,7 @@
   /**
    * Handles a closed connection.
    *
-   * @returns whether it was the current connection rather than one already replaced
+   * @returns whether the closed connection was the current one; false when a newer connection has replaced it
    */
   detach (link: EntryLink): boolean {
     if (this._link !== link) return false
--- a/packages/sidecar/src/lib/fence.ts
+++ b/packages/sidecar/src/lib/fence.ts
@@ -1,5 +1,5 @@
 /**
- * The fencing number of this sidecar: shows that it is the newest sidecar that may send load and unload orders to the engine.
+ * The fencing number of a sidecar. Only the sidecar with the highest number may send load and unload orders to the engine.
  */
 import { type Clock, type EventRing, type Log, newId, type Ms, sleep } from '@hazelford/core'
 import { type KvClient, casWithReadBack } from '@hazelford/consul'
@@ -95,7 +95,7 @@
    * Checks before a load or unload order that the number is still the highest.
    *
    * A holder can be paused for longer than its lease and resume in the middle of an order
-   * while a successor has taken over. The monotonic clock reveals the pause; the record then
+   * although a successor has taken over meanwhile. The monotonic clock reveals the pause; the record then
    * shows whether another sidecar holds the upstream.
    */
   async check (): Promise<FenceVerdict> {
@@ -108,7 +108,7 @@
 
   private async _verify (): Promise<FenceVerdict> {
     const { kv, clock, log, events, upstream } = this._options
-    const askedAt = clock.now()
+    const readStartedAt = clock.now()
     const read = await kv.read(this._key)
     // No sidecar can acquire a number while the key-value service is down, so an order of an
     // unverified holder conflicts at worst with a successor that took over before the outage.
@@ -118,11 +118,11 @@
     const record = readRecord(read.value.entry?.value)
     if (record !== undefined && record.number > this._number) {
       this._superseded = true
-      log.warn('fence', 'superseded.', { upstream, number: this._number, by: record.number })
+      log.warn('fence', 'another sidecar acquired a higher fencing number.', { upstream, number: this._number, by: record.number })
       events.add('fence', { upstream, note: `superseded by number ${record.number}` })
       return 'superseded'
     }
-    this._verifiedAt = askedAt
+    this._verifiedAt = readStartedAt
     return 'held'
   }
 }
--- a/packages/sidecar/src/lib/heartbeat-reporter.ts
+++ b/packages/sidecar/src/lib/heartbeat-reporter.ts
@@ -13,7 +13,7 @@
   readonly revision: () => number
   readonly report: () => PlanReport
   /** Requests that the upstream was running when it terminated. */
-  readonly ended: () => readonly InterruptedRequest[]
+  readonly interrupted: () => readonly InterruptedRequest[]
   readonly connections: () => Iterable<Connection>
 }
 
@@ -42,19 +42,19 @@
       loadsWaiting,
       serviceMs,
       sameAdapters: false,
-      endedUnder: this._source.ended().map(({ request, age }) => ({ request, ageMs: age }))
+      endedUnder: this._source.interrupted().map(({ request, age }) => ({ request, ageMs: age }))
     }
   }
 
   /** Sends a heartbeat now. */
   send (): void {
-    const full = this.heartbeat()
-    const adapters = full.adapters.map(({ adapter, state }) => `${adapter} ${state}`).join()
-    const short: SidecarHeartbeat = { ...full, adapters: [], sameAdapters: true }
+    const withAdapters = this.heartbeat()
+    const adapters = withAdapters.adapters.map(({ adapter, state }) => `${adapter} ${state}`).join()
+    const withoutAdapters: SidecarHeartbeat = { ...withAdapters, adapters: [], sameAdapters: true }
     // Most heartbeats report the same adapters as the one before. Sending the names each time
     // made up nine tenths of an entry's control traffic.
     for (const connection of this._source.connections()) {
-      const value = this._lastSentAdapters.get(connection) === adapters ? short : full
+      const value = this._lastSentAdapters.get(connection) === adapters ? withoutAdapters : withAdapters
       this._lastSentAdapters.set(connection, adapters)
       connection.send({ body: { $case: 'heartbeat', value } })
     }
--- a/packages/sidecar/src/lib/interrupted-requests.ts
+++ b/packages/sidecar/src/lib/interrupted-requests.ts
@@ -25,7 +25,7 @@
   private readonly _interruptedAt = new Map<string, Ms>()
 
   /** Records a request that the upstream was running when it terminated. */
-  note (request: string, now: Ms): void {
+  record (request: string, now: Ms): void {
     this._interruptedAt.delete(request)
     this._interruptedAt.set(request, now)
     for (const oldest of this._interruptedAt.keys()) {
@@ -35,7 +35,7 @@
   }
 
   /** Removes a request that has since been answered completely: a request that crashes the engine is never answered. */
-  answered (request: () => string): void {
+  removeAnswered (request: () => string): void {
     if (this._interruptedAt.size > 0) this._interruptedAt.delete(request())
   }
 
--- a/packages/sidecar/src/lib/load-permits.ts
+++ b/packages/sidecar/src/lib/load-permits.ts
@@ -169,8 +169,8 @@
   /** Replaces this sidecar's permit in the record by the permits that `replace` returns. */
   private async _replacePermit (token: string, replace: (permit: Permit) => readonly Permit[]): Promise<void> {
     const { kv, clock } = this._options
-    const end = clock.now() + permitTtl
-    while (clock.now() < end) {
+    const giveUpAt = clock.now() + permitTtl
+    while (clock.now() < giveUpAt) {
       const read = await kv.read(recordKey)
       if (read.isErr()) return
       const { entry } = read.value
@@ -187,9 +187,9 @@
   /**
    * Permits a load while the key-value service is down.
    *
-   * Sidecars then can't see each other's loads. The duration of its own loads shows a sidecar
-   * how busy the weight store is; the throttle keeps its rate between what it needs and its
-   * share of the store's rate.
+   * Sidecars then can't see each other's loads, but the duration of its own loads shows a
+   * sidecar how busy the weight store is. The throttle raises the sidecar's rate while its loads
+   * are fast, and lowers it down to the sidecar's share of the store's rate while they are slow or fail.
    */
   private async _permitWithoutService (): Promise<HeldPermit> {
     const { clock } = this._options
--- a/packages/sidecar/src/lib/request-dispatcher.ts
+++ b/packages/sidecar/src/lib/request-dispatcher.ts
@@ -35,6 +35,7 @@
   'load-failed': 'The adapter could not be loaded. Send the request again later.'
 }
 
+/** Times that a request returns to the queue since the engine no longer has its adapter; after that the request fails. */
 const maxReloads = 5
 
 /** Digest of a request; the same for each attempt, at every sidecar. */
@@ -49,6 +50,7 @@
   private readonly _reloads = new Map<string, number>()
   private readonly _interrupted = new InterruptedRequests()
   private _permit: HeldPermit | undefined
+  /** Priority of the load that waits for a permit; undefined when none waits. */
   private _requestedRank: number | undefined
 
   constructor (private readonly _options: SidecarOptions, private readonly _parts: DispatcherParts) {
@@ -56,7 +58,7 @@
     this._runner = _parts.createRunner({
       finished: (run, ran) => this._finished(run, ran),
       notLoaded: run => this._notLoaded(run),
-      endedUnder: run => this._recordInterrupted(run)
+      interrupted: run => this._recordInterrupted(run)
     })
     this._task = new Task(planUpstream(this._plan), effect => this._perform(effect))
   }
@@ -65,7 +67,7 @@
   report (): PlanReport { return this._plan.report() }
 
   /** Requests that the upstream was running when it terminated, for heartbeats. */
-  endedUnder (): readonly InterruptedRequest[] { return this._interrupted.list(this._now()) }
+  interruptedRequests (): readonly InterruptedRequest[] { return this._interrupted.list(this._now()) }
 
   /** Whether no request is queued or running. */
   get idle (): boolean { return this._runs.size === 0 }
@@ -93,7 +95,7 @@
     const run = new RequestRun(`${session.incarnation}.${request.seq}`, request, session)
     switch (verdict) {
       case 'duplicate':
-        // The frame was received before and its request has ended; its outcome is no longer known here.
+        // The frame was received before and its request has ended; this sidecar no longer has its outcome.
         return run.end(failure('may-have-run', 'duplicate-frame', 'The request frame was received twice.'))
       case 'withdrawn':
         return run.end(failure('not-run', 'withdrawn', refusalMessages.withdrawn!))
@@ -132,19 +134,19 @@
   /**
    * Stops the requests that an entry no longer lists after a reconnect.
    *
-   * @returns sequence numbers of the requests that are still open here
+   * @returns sequence numbers of the requests that are still open at this sidecar
    */
   reconcile (session: EntrySession, hello: Hello): readonly number[] {
-    const named = new Map(hello.open.map(open => [open.seq, open.received]))
+    const listed = new Map(hello.open.map(open => [open.seq, open.received]))
     for (const [seq, run] of session.runs) {
-      if (named.has(seq)) continue
+      if (listed.has(seq)) continue
       session.runs.delete(seq)
       this._stopRequest(run)
     }
     return [...session.runs.keys()]
   }
 
-  /** Stops all requests of an entry that did not reconnect, since no process will read their answers. */
+  /** Stops all requests of an entry that did not reconnect, since their answers can no longer be delivered. */
   abandon (session: EntrySession): void {
     for (const run of session.runs.values()) this._stopRequest(run)
     session.runs.clear()
@@ -222,7 +224,7 @@
   private _finished (run: RequestRun, ran: boolean): void {
     if (!this._runs.delete(run.id)) return
     this._reloads.delete(run.id)
-    if (run.isComplete) this._interrupted.answered(() => requestDigest(run.request))
+    if (run.isComplete) this._interrupted.removeAnswered(() => requestDigest(run.request))
     this._options.events.add('request-ended', { request: run.request.id, upstream: this._options.upstream })
     this._post({ kind: 'finished', at: this._now(), id: run.id, ran })
   }
@@ -231,7 +233,7 @@
     const { log, upstream } = this._options
     const digest = requestDigest(request)
     log.warn('sidecar', 'upstream terminated while running a request.', { upstream, request: request.id, digest })
-    this._interrupted.note(digest, this._now())
+    this._interrupted.record(digest, this._now())
     this._parts.changed()
   }
 
--- a/packages/sidecar/src/lib/request-run.ts
+++ b/packages/sidecar/src/lib/request-run.ts
@@ -24,7 +24,7 @@
  */
 export class RequestRun {
   state: RunState = 'queued'
-  /** Whether the entry withdrew the request while its key was being claimed. */
+  /** Whether the entry withdrew the request while its idempotency key was being claimed. */
   isWithdrawn = false
   handle: CallHandle | undefined
 
@@ -43,7 +43,7 @@
    */
   constructor (readonly id: string, readonly request: Request, private readonly _link: EntryLink) {}
 
-  /** Whether its complete answer has been received. */
+  /** Whether the upstream's complete answer has been received. */
   get isComplete (): boolean { return this.state === 'ended' && !this._failed }
 
   /** Whether any part of the answer's body has been received from the upstream. */
@@ -90,16 +90,16 @@
   }
 
   /** Handles an acknowledgement: the entry has forwarded this many chunks. */
-  confirm (received: number): void {
+  acknowledge (received: number): void {
     if (received <= this._acknowledged) return
     this._unacknowledged.splice(0, received - this._acknowledged)
     this._acknowledged = received
     this._applyBackpressure()
   }
 
-  /** Sends the frames again that the entry has not received before a reconnect. */
+  /** Sends the frames again that the entry had not received when its connection broke. */
   replay (received: number): void {
-    this.confirm(received)
+    this.acknowledge(received)
     if (this._head !== undefined) this._link.send({ body: { $case: 'head', value: this._head } })
     for (const chunk of this._unacknowledged) this._link.sendChunk(chunk)
     if (this._end !== undefined) this._link.send(this._end)
--- a/packages/sidecar/src/lib/sidecar.ts
+++ b/packages/sidecar/src/lib/sidecar.ts
@@ -33,7 +33,9 @@
   readonly report: PlanReport
 }
 
+/** In force until the first configuration arrives. */
 const initialLimits: PlanLimits = { slots: 1, places: 1, queueLimit: 256, draftLinger: 0 }
+/** In force until the first configuration arrives. */
 const initialPermitLimits: PermitLimits = { atOnce: 1, perSecond: 4, sharers: 1 }
 /** How long an entry may be disconnected before its idempotent requests are stopped. */
 const sessionGraceMs: Ms = 5_000
@@ -68,12 +70,12 @@
   private _isReady = false
   private _shuttingDown = false
   private _stopped = false
-  private _lastBeatAt: Ms
+  private _lastHeartbeatAt: Ms
 
   constructor (private readonly _options: SidecarOptions) {
     const { kv, clock, log, events, upstream, name, leaseMs } = _options
     this.config = new ConfigState(log, events)
-    this._lastBeatAt = clock.now()
+    this._lastHeartbeatAt = clock.now()
     this._fence = new Fence({ kv, clock, log, events, upstream, sidecar: name, leaseMs })
     const model = this._createModelParts()
     this._slots = model?.slots
@@ -81,7 +83,7 @@
       state: () => this._state,
       revision: () => this.config.revision,
       report: () => this._dispatcher.report(),
-      ended: () => this._dispatcher.endedUnder(),
+      interrupted: () => this._dispatcher.interruptedRequests(),
       connections: () => this._connections.keys()
     })
     this._dispatcher = new RequestDispatcher(_options, {
@@ -156,7 +158,7 @@
   /** Breaks all channels; entries reconnect. For tests. */
   cutChannels (): void { this._server?.cutAll() }
 
-  /** Whether no request is running and every connected entry has acknowledged all its answers. */
+  /** Whether no request is queued or running and every connected entry has acknowledged all answers sent to it. */
   private _isQuiet (): boolean {
     if (!this._dispatcher.idle) return false
     return [...this._connections.values()].every(session => session.runs.size === 0)
@@ -266,8 +268,8 @@
   }
 
   private _handleHello (connection: Connection, hello: Hello): EntrySession {
-    const known = this._sessions.get(hello.incarnation)
-    const session = known ?? new EntrySession(hello.entry, hello.incarnation)
+    const existing = this._sessions.get(hello.incarnation)
+    const session = existing ?? new EntrySession(hello.entry, hello.incarnation)
     this._sessions.set(hello.incarnation, session)
     this._connections.set(connection, session)
     session.attach(connection)
@@ -284,7 +286,7 @@
           highestSeq: session.ledger.highest,
           open: [...open],
           report: this._reporter.heartbeat(),
-          resumed: known !== undefined
+          resumed: existing !== undefined
         }
       }
     })
@@ -313,7 +315,7 @@
       case 'ack': {
         const run = session.runs.get(body.value.seq)
         if (body.value.done) session.runs.delete(body.value.seq)
-        else run?.confirm(body.value.received)
+        else run?.acknowledge(body.value.received)
         return
       }
       case 'heartbeat': return this._sendConfigIfNewer(connection, body.value.revision)
@@ -351,10 +353,10 @@
   private _detectPause (): void {
     const { clock, events, leaseMs, log } = this._options
     const now = clock.now()
-    if (now - this._lastBeatAt > leaseMs) {
-      log.warn('sidecar', 'process was paused.', { ms: Math.round(now - this._lastBeatAt) })
-      events.add('process', { note: `paused ${Math.round(now - this._lastBeatAt)} ms` })
+    if (now - this._lastHeartbeatAt > leaseMs) {
+      log.warn('sidecar', 'process was paused.', { ms: Math.round(now - this._lastHeartbeatAt) })
+      events.add('process', { note: `paused ${Math.round(now - this._lastHeartbeatAt)} ms` })
     }
-    this._lastBeatAt = now
+    this._lastHeartbeatAt = now
   }
 }
--- a/packages/sidecar/src/lib/upstream-runner.ts
+++ b/packages/sidecar/src/lib/upstream-runner.ts
@@ -14,7 +14,7 @@
   /** The engine does not have the adapter; the request must wait for another load. */
   readonly notLoaded: (run: RequestRun) => void
   /** The upstream terminated while running the request, before it sent any of the answer. */
-  readonly endedUnder: (run: RequestRun) => void
+  readonly interrupted: (run: RequestRun) => void
 }
 
 /** Runs requests of one kind of upstream. */
@@ -44,7 +44,8 @@
 
 /**
  * Whether an engine has terminated since a request started there. An adapter is not unloaded while a request uses it, so an
- * engine that no longer has it was restarted. Called before the request releases the adapter, which may be unloaded after that.
+ * engine that no longer lists the adapter was restarted; one that does not answer counts as terminated. Called before the
+ * request releases the adapter, which may be unloaded after that.
  */
 async function hasTerminated (engine: EngineClient, engineName: string): Promise<boolean> {
   const listing = await engine.list()
@@ -69,7 +70,7 @@
       const sink = createForwardingSink(run, events)
       const fail = (cause: Failure): void => {
         if (wasLostAfterSending(cause) && !run.hasAnswered) {
-          hasTerminated(engine, engineName).then(ended => { if (ended) events.endedUnder(run) }, () => {})
+          hasTerminated(engine, engineName).then(terminated => { if (terminated) events.interrupted(run) }, () => {})
         }
         sink.fail(cause)
       }
@@ -111,7 +112,7 @@
   end = (): void => {
     const answer = keepAnswer(this._status, this._headers, this._chunks)
     // Recorded before the caller receives it: after a crash of this sidecar, a repeat through
-    // another one must find the answer that the caller was given.
+    // another one must find the answer that the caller received.
     this._claims.settle(this._claim, answer).then(() => {
       this._run.head(this._status, this._headers)
       for (const chunk of this._chunks) this._run.data(chunk)
@@ -190,7 +191,7 @@
       case 'other-call':
         return fail(run, failure('not-run', 'key-in-use', 'This Idempotency-Key was used for a different call. Use a new key.'))
       case 'unavailable':
-        return fail(run, failure('not-run', 'claims-unavailable', 'Idempotency keys can not be recorded now. Repeat with the same key later.', retryAfterWhileDown))
+        return fail(run, failure('not-run', 'claims-unavailable', 'Idempotency keys cannot be recorded now. Repeat with the same key later.', retryAfterWhileDown))
     }
   }
 
--- a/packages/sidecar/src/test/claims.feature
+++ b/packages/sidecar/src/test/claims.feature
@@ -4,21 +4,21 @@
   effect late, the key-value service was down, or a sidecar was paused or restarted.
 
   Scenario: any interleaving of sidecars and faults
-    Given three sidecars that claim the same key while calls are lost, late or refused
+    Given three sidecars that claim the same key while calls to the key-value service are lost, late or refused
     Then at most one of them may run the call
 
   Scenario: the reply to the claim is lost
     Given a sidecar whose claim was stored but not confirmed
     Then it finds its own claim and may run the call
 
-  Scenario: the service is down
+  Scenario: the key-value service is down
     Given a sidecar that can't reach the key-value service
-    Then the call is refused as not run and the key is free once the service is back
+    Then the call is refused as not run and the key is free once the key-value service is back
 
   Scenario: a claim that took effect after its caller was refused
     Given a claim whose write is still in flight when the call is refused
-    When it takes effect later
-    Then the sidecar removes it and another sidecar can run the call
+    When the write takes effect later
+    Then the sidecar removes the claim and another sidecar can run the call
 
   Scenario: a repeat after the first attempt ended
     Given a call that ran and was answered through one sidecar
--- a/packages/sidecar/src/test/claims.steps.ts
+++ b/packages/sidecar/src/test/claims.steps.ts
@@ -23,7 +23,7 @@
 let kv: FakeKv
 let outcome: ClaimOutcome
 
-/** Advances the clock until the retries of removing and recording have run. */
+/** Advances the clock until the retried removals and writes of records have run. */
 async function passTime (): Promise<void> {
   for (let i = 0; i < 12; i++) {
     clock.advance(600)
@@ -31,7 +31,7 @@
   }
 }
 
-Given('three sidecars that claim the same key while calls are lost, late or refused', () => { kv = new FakeKv() })
+Given('three sidecars that claim the same key while calls to the key-value service are lost, late or refused', () => { kv = new FakeKv() })
 
 Then('at most one of them may run the call', async () => {
   const faults = fc.infiniteStream(fc.constantFrom<KvFault>('none', 'none', 'none', 'lost-reply', 'late', 'refused'))
@@ -77,7 +77,7 @@
   outcome = await claims.claim(key, digest)
 })
 
-Then('the call is refused as not run and the key is free once the service is back', async () => {
+Then('the call is refused as not run and the key is free once the key-value service is back', async () => {
   assert.equal(outcome.kind, 'unavailable')
   down = false
   assert.equal((await claims.claim(key, digest)).kind, 'taken')
@@ -91,14 +91,14 @@
   assert.equal(outcome.kind, 'unavailable')
 })
 
-When('it takes effect later', async () => {
+When('the write takes effect later', async () => {
   clock.advance(600)
   await flushMicrotasks()
   kv.applyLate()
   assert.equal(kv.data.size, 1)
 })
 
-Then('the sidecar removes it and another sidecar can run the call', async () => {
+Then('the sidecar removes the claim and another sidecar can run the call', async () => {
   await passTime()
   assert.equal(kv.data.size, 0)
   assert.equal((await claimsOf(kv.client(noFault), 's2').claim(key, digest)).kind, 'taken')
--- a/packages/sidecar/src/test/fence.feature
+++ b/packages/sidecar/src/test/fence.feature
@@ -7,10 +7,10 @@
     Given a sidecar that holds a fencing number and a successor that acquires the next one
     Then the first finds that it is superseded once its check has expired
 
-  Scenario: numbers are never used twice, also when replies are lost
+  Scenario: no number is used twice, even when replies are lost
     Given several sidecars that acquire fencing numbers while replies to writes are lost
     Then no two of them hold the same number
 
   Scenario: the key-value service is down
-    Given a sidecar that holds a fencing number when the service goes down
-    Then it continues with unverified orders, keeps its number and is not superseded
+    Given a sidecar that holds a fencing number when the key-value service goes down
+    Then the sidecar continues with unverified orders, keeps its number and is not superseded
--- a/packages/sidecar/src/test/fence.steps.ts
+++ b/packages/sidecar/src/test/fence.steps.ts
@@ -66,7 +66,7 @@
 
 let down: boolean
 
-Given('a sidecar that holds a fencing number when the service goes down', async () => {
+Given('a sidecar that holds a fencing number when the key-value service goes down', async () => {
   const kv = new FakeKv()
   clock = new FakeClock()
   down = false
@@ -76,7 +76,7 @@
   clock.advance(10 * leaseMs)
 })
 
-Then('it continues with unverified orders, keeps its number and is not superseded', async () => {
+Then('the sidecar continues with unverified orders, keeps its number and is not superseded', async () => {
   assert.equal(await fence.check(), 'unverified')
   assert.equal(fence.superseded, false)
   assert.equal(fence.number, 1)
--- a/packages/sidecar/src/test/load-permits.feature
+++ b/packages/sidecar/src/test/load-permits.feature
@@ -17,11 +17,11 @@
   Scenario: the key-value service is down
     Given four sidecars that share four loads a second while the service is down
     And the weight store refuses their loads
-    Then together they start at most four loads in any second after their first
+    Then together the sidecars start at most four loads in any second
 
-  Scenario: the key-value service is down and one sidecar needs all loads
+  Scenario: the key-value service is down and only one sidecar loads adapters
     Guards against callers that wait many times longer during an outage although the weight store is idle.
     It happens when one sidecar gets all new adapters and each sidecar is limited to a fixed share.
 
     Given one of four sidecars that loads alone while the service is down
-    Then it uses most of the store's rate after ten seconds
+    Then the sidecar uses most of the store's rate after ten seconds
--- a/packages/sidecar/src/test/load-permits.steps.ts
+++ b/packages/sidecar/src/test/load-permits.steps.ts
@@ -102,7 +102,7 @@
   await passTime(12_000)
 })
 
-Then('together they start at most four loads in any second after their first', () => {
+Then('together the sidecars start at most four loads in any second', () => {
   assert.equal(begun.length, 40)
   for (const at of begun) {
     const within = begun.filter(other => other >= at && other < at + 1_000).length
@@ -127,7 +127,7 @@
   await passTime(20_000)
 })
 
-Then('it uses most of the store\'s rate after ten seconds', () => {
+Then('the sidecar uses most of the store\'s rate after ten seconds', () => {
   const lastSeconds = begun.filter(at => at >= 10_000 && at < 15_000).length / 5
   assert.ok(lastSeconds >= 3, `${lastSeconds} loads a second`)
 })
