--- a/packages/consul/src/lib/kv-client.ts
+++ b/packages/consul/src/lib/kv-client.ts
@@ -26,7 +26,7 @@
 /**
  * Why a call failed.
  *
- * - `not-applied`: the service refused the call, so a write did not take effect.
+ * - `not-applied`: the call did not reach the service, so a write did not take effect.
  * - `unknown`: no reply came; a write may have taken effect.
  */
 export interface KvFailure {
--- a/packages/engine/src/lib/engine-client.ts
+++ b/packages/engine/src/lib/engine-client.ts
@@ -65,7 +65,7 @@
   }
 }
 
-/** The JSON of an event's data line, decoded from its latin1 string of bytes. */
+/** The JSON of an event's data line, whose text holds one byte in each character (latin1). */
 function eventJson (line: string): string {
   return Buffer.from(line.slice(dataFieldLength), 'latin1').toString('utf8')
 }
@@ -112,7 +112,7 @@
     this._isFinished = true
     this._http.abort()
     // From a closed connection alone the engine learns of the cancellation late or, when the stream
-    // can be resumed, not at all. Until it stops it uses the adapter, which must stay pinned.
+    // can be resumed, not at all. Until the engine stops the request, the adapter is in use and must stay pinned.
     await this._pool.request({ method: 'DELETE', path: `/v1/streams/${this._call.id}`, signal: AbortSignal.timeout(cancelTimeoutMs) })
       .then(res => res.body.dump(), () => {})
   }
--- a/packages/entry/src/lib/answer-receiver.ts
+++ b/packages/entry/src/lib/answer-receiver.ts
@@ -12,7 +12,7 @@
 
 /** Controls an attempt. */
 export interface Attempt {
-  /** Asks the sidecar to withdraw the request; the end frame states whether it had begun to run. */
+  /** Asks the sidecar to withdraw the request; the end frame states whether the request had begun to run. */
   readonly withdraw: (reason: 'deadline' | 'caller-gone') => void
   /** Acknowledges chunks: `received` is the number that have been sent to the caller. */
   readonly confirm: (received: number) => void
--- a/packages/entry/src/lib/channel-client.ts
+++ b/packages/entry/src/lib/channel-client.ts
@@ -41,8 +41,8 @@
 const resumeGraceMs: Ms = 3_000
 const reconnectBackoff = { base: 50, cap: 1_000 }
 const defaultHeartbeatMs: Ms = 250
-const suspectAfterBeats = 4
-const disconnectAfterBeats = 20
+const suspectAfterHeartbeats = 4
+const disconnectAfterHeartbeats = 20
 /** Chunks forwarded to the caller between two acknowledgements. */
 const ackEvery = creditChunks / 4
 
@@ -198,10 +198,10 @@
     this._connected = true
     this._lastReceivedAt = clock.now()
     this._grace?.()
-    const known = welcome.incarnation === this._peerIncarnation && welcome.resumed
+    const isResumed = welcome.incarnation === this._peerIncarnation && welcome.resumed
     this._peerIncarnation = welcome.incarnation
     events.add('channel-open', { peer: welcome.sidecar, upstream: welcome.upstream })
-    if (known) this._resume(welcome)
+    if (isResumed) this._resume(welcome)
     else this._failOpen('sidecar-restarted', 'The sidecar restarted while the request was open.')
     this._events.up(welcome)
     this._sendConfigIfNewer(welcome.revision)
@@ -212,8 +212,8 @@
    *
    * The sidecar sends the highest sequence number it has received. Requests above it never
    * arrived and are sent again; requests that the sidecar still has continue after the last
-   * chunk received. (That a reconnecting party reports its highest sequence number, so that the
-   * rest can be replayed, follows StarFish: Gabber et al., USENIX 2003.)
+   * chunk received. (This follows StarFish, where a reconnecting party reports its highest
+   * sequence number, so that the rest can be replayed: Gabber et al., USENIX 2003.)
    */
   private _resume (welcome: Welcome): void {
     const openAtSidecar = new Set(welcome.open)
@@ -250,8 +250,8 @@
   private _startGrace (): void {
     const lost = failure('may-have-run', 'channel-lost', 'The channel to the sidecar broke and was not restored in time.')
     for (const [seq, attempt] of [...this._open]) {
-      // Waiting for a reconnect takes time. An idempotent request of whose answer nothing has
-      // arrived fails at once instead, so that it can be sent to another upstream.
+      // Waiting for a reconnect takes time. An idempotent request without any part of its answer
+      // fails at once instead, so that the entry can send it to another upstream.
       if (!attempt.request.idempotent || attempt.begun) continue
       this._open.delete(seq)
       attempt.fail(lost)
@@ -277,9 +277,9 @@
       this._write({ body: { $case: 'heartbeat', value: { revision: revision() } } })
       const silence = clock.now() - this._lastReceivedAt
       // A silent sidecar gets no new requests. Its open requests may still be running, so they are kept.
-      if (silence > interval * suspectAfterBeats) this._events.silent()
+      if (silence > interval * suspectAfterHeartbeats) this._events.silent()
       // The connection to a peer that vanished without closing it never fails by itself.
-      if (silence > interval * disconnectAfterBeats) this._stream?.cancel()
+      if (silence > interval * disconnectAfterHeartbeats) this._stream?.cancel()
     }
     clock.after(interval, () => this._heartbeat())
   }
--- a/packages/entry/src/lib/entry.ts
+++ b/packages/entry/src/lib/entry.ts
@@ -184,7 +184,7 @@
           }
         })
       },
-      over: outcome => {
+      finished: outcome => {
         if (outcome.kind === 'answered') this._quarantine.recordAnswered(digest, clock.now())
         this._finished(id, outcome, startedAt, call)
       }
@@ -250,8 +250,8 @@
   }
 
   private _budget (service: Service, config: Config): RetryBudget {
-    const known = this._budgets.get(service.name)
-    if (known !== undefined) return known
+    const existing = this._budgets.get(service.name)
+    if (existing !== undefined) return existing
     const budget = new RetryBudget(config.policy.retry_share)
     this._budgets.set(service.name, budget)
     return budget
--- a/packages/entry/src/lib/request-task.ts
+++ b/packages/entry/src/lib/request-task.ts
@@ -23,9 +23,10 @@
   /** Failure of a quarantined request; undefined when the request is not quarantined. */
   readonly quarantineFailure: () => Failure | undefined
   readonly dispatch: (upstream: string, receiver: AnswerReceiver) => Attempt
-  readonly over: (outcome: RequestOutcome) => void
+  readonly finished: (outcome: RequestOutcome) => void
 }
 
+/** Longest wait for the end frame of a withdrawn request. */
 const withdrawTimeoutMs: Ms = 1_000
 
 /** One request, from its arrival to its answer. */
@@ -104,7 +105,7 @@
     this._isFinished = true
     for (const cancel of this._timers) cancel()
     this._attempt?.close()
-    this._deps.over(outcome)
+    this._deps.finished(outcome)
   }
 }
 
@@ -112,7 +113,7 @@
  * Starts a request, which runs until it is answered.
  *
  * @param id - unique id of the request
- * @param request - properties of the request that decide on retries
+ * @param request - properties of the request that determine whether it may be retried
  * @param deadlineAt - deadline on the entry's clock
  * @param res - the raw response
  * @param deps - functions of the entry
