--- a/packages/sidecar/src/lib/fence.ts
+++ b/packages/sidecar/src/lib/fence.ts
@@ -118,7 +118,7 @@
     const record = readRecord(read.value.entry?.value)
     if (record !== undefined && record.number > this._number) {
       this._superseded = true
-      log.warn('fence', 'another sidecar acquired a higher fencing number.', { upstream, number: this._number, by: record.number })
+      log.warn('fence', 'superseded.', { upstream, number: this._number, by: record.number })
       events.add('fence', { upstream, note: `superseded by number ${record.number}` })
       return 'superseded'
     }
