--- a/packages/cli/src/lib/commands/apply.ts
+++ b/packages/cli/src/lib/commands/apply.ts
@@ -23,9 +23,9 @@
 }
 
 function conflict (current: ConfigDocument | undefined, text: string): Report {
-  if (current === undefined) return report(exitCodes.conflict, 'Another change came first. Nothing was changed. Look with "hazelford show".')
+  if (current === undefined) return report(exitCodes.conflict, 'Another change came first. Nothing was changed. See "hazelford show".')
   const diff = textDiff(current.text, text, `revision ${current.revision} by ${current.author}`, 'yours')
-  return report(exitCodes.conflict, `Revision ${current.revision} by ${current.author} came first. Nothing was changed; your text is as it was.\nTake it over with "hazelford show", then apply again. What differs:\n${diff}`, { conflict: current.revision, by: current.author, diff })
+  return report(exitCodes.conflict, `Revision ${current.revision} by ${current.author} came first. Nothing was changed.\nGet the current text with "hazelford show", edit it and apply it. Differences to your text:\n${diff}`, { conflict: current.revision, by: current.author, diff })
 }
 
 /**
--- a/packages/cli/src/lib/commands/drain.ts
+++ b/packages/cli/src/lib/commands/drain.ts
@@ -20,12 +20,12 @@
   const remaining = [...config.upstreams.values()].filter(other => other.service === service && !drained.includes(other.name))
   if (remaining.length > 0) return []
   const dependants = [...config.services.values()].filter(other => other.dependsOn.includes(service)).map(other => other.name)
-  const also = dependants.length === 0 ? '' : ` Its dependants refuse requests too: ${dependants.join(', ')}.`
-  return [`Warning: "${service}" has no other upstream; its requests are refused as not run.${also}`]
+  const also = dependants.length === 0 ? '' : ` Services that depend on it refuse requests too: ${dependants.join(', ')}.`
+  return [`Warning: "${service}" has no other upstream; its requests are refused and do not run.${also}`]
 }
 
 /**
- * Drains an upstream or ends its drain.
+ * Drains an upstream, or undrains it.
  *
  * @param ctx - connections, operator and clock of the invocation
  * @param name - the upstream
@@ -39,7 +39,7 @@
   const config = parseConfig(text)
   if (config.isErr() || !config.value.upstreams.has(name)) {
     const known = config.isOk() ? [...config.value.upstreams.keys()].join(', ') : ''
-    return report(exitCodes.badInput, `No upstream "${name}" is configured. There are: ${known}.`)
+    return report(exitCodes.badInput, `No upstream "${name}" is configured. Configured upstreams: ${known}.`)
   }
   const before = [...config.value.upstreams.values()].filter(upstream => upstream.drained).map(upstream => upstream.name)
   if (before.includes(name) === drain) return report(exitCodes.done, `"${name}" is ${drain ? 'drained' : 'not drained'} already. Nothing was changed.`)
--- a/packages/cli/src/lib/config-store.ts
+++ b/packages/cli/src/lib/config-store.ts
@@ -94,7 +94,7 @@
     if ((JSON.parse(json) as StoredDocument).previousWriteId === doc.writeId) return { kind: 'replaced', doc, current }
     if (current.revision <= doc.revision) return { kind: 'conflict', current }
     // More than one change followed, and this write may be among those that were replaced.
-    return { kind: 'unknown', message: `revision ${current.revision} stands now`, writeId: doc.writeId }
+    return { kind: 'unknown', message: `revision ${current.revision} is stored now`, writeId: doc.writeId }
   }
 
   private async _keepInHistory (doc: ConfigDocument): Promise<void> {
--- a/packages/cli/src/lib/queries/explain.ts
+++ b/packages/cli/src/lib/queries/explain.ts
@@ -23,12 +23,12 @@
 /** The meaning of each value of a request's `end`. */
 const meanings: Readonly<Record<string, string>> = {
   delivered: 'The whole answer was passed on.',
-  broken: 'Part of the answer had been passed on when its upstream failed; the connection was cut so that it can not look whole.',
+  broken: 'Part of the answer had been passed on when its upstream failed; the connection was cut so that the answer can\'t look complete.',
   'caller-gone': 'The caller closed its connection first.',
   'no-upstream': 'No upstream of the service accepted a connection. It did not run.',
   'upstream-limit': 'Each upstream that could run it had a request limit, which was used up. It did not run.',
   'upstream-rest': 'Each upstream that could run it had refused its entry\'s requests and asked it to back off. It did not run.',
-  'adapter-unavailable': 'Its adapter could not be had in time: see the loads below. It did not run.',
+  'adapter-unavailable': 'Its adapter was not available in time: see the loads below. It did not run.',
   refused: 'Upstreams answered that they were full or lacked the adapter, and no other upstream may be tried. It did not run.',
   'attempts-spent': 'It was sent to as many upstreams as its route allows.',
   'budget-spent': 'The retry budget of its service was spent, so it was not sent again.',
@@ -77,12 +77,12 @@
   const nodes = new Set(own.map(({ node }) => node))
   const changes = lines.filter(line => line.time >= first.time - contextMs && line.time <= last.time + contextMs && isRelated(line, first, upstreams, nodes))
   const outcome = end === undefined
-    ? refusals[last.msg] ?? 'It has no end in these logs: its entry was killed or cut off, or its log ends too soon.'
+    ? refusals[last.msg] ?? 'These logs do not show how it ended: its entry was killed or cut off, or its log ends too soon.'
     : meanings[String(end.end)] ?? `It ended as ${String(end.end)}.`
   const text = [
     `Request ${id}: ${outcome}`,
     ...own.map(line => describe(line, first.time)),
-    ...(changes.length === 0 ? [] : ['', 'What changed around it:', ...changes.slice(0, shownChanges).map(line => describe(line, first.time))]),
+    ...(changes.length === 0 ? [] : ['', 'Related changes around that time:', ...changes.slice(0, shownChanges).map(line => describe(line, first.time))]),
     ...(changes.length > shownChanges ? [`(and ${changes.length - shownChanges} more)`] : [])
   ].join('\n')
   return report(exitCodes.done, text, { id, outcome, lines: own, changes })
--- a/packages/cli/src/lib/queries/organisation-table.ts
+++ b/packages/cli/src/lib/queries/organisation-table.ts
@@ -45,9 +45,9 @@
   for (const { msg, cause, key } of lines) {
     if (msg !== 'request: unauthorised.') continue
     const id = `${String(cause)} ${String(key)}`
-    const entry = found.get(id) ?? { cause: String(cause), key: key === undefined ? '-' : String(key), count: 0 }
-    entry.count++
-    found.set(id, entry)
+    const group = found.get(id) ?? { cause: String(cause), key: key === undefined ? '-' : String(key), count: 0 }
+    group.count++
+    found.set(id, group)
   }
   return [...found.values()].sort((a, b) => b.count - a.count)
 }
--- a/packages/cli/src/lib/queries/repeated-losses.ts
+++ b/packages/cli/src/lib/queries/repeated-losses.ts
@@ -7,7 +7,7 @@
 /** Most rows that the table shows. */
 const lossRows = 10
 
-/** A request that was lost at upstreams, over all its attempts. */
+/** A request whose answer upstreams lost, over all its attempts. */
 export interface RepeatedLoss {
   readonly upstreams: Set<unknown>
   /** Attempts whose answer was lost. */
--- a/packages/cli/src/lib/queries/report-load.ts
+++ b/packages/cli/src/lib/queries/report-load.ts
@@ -14,7 +14,10 @@
   readonly length: number | undefined
 }
 
-/** Waiting times in ms of one route's requests; `atDoor` is the wait to be admitted by an engine's holder. */
+/**
+ * Waiting times in ms of one route's requests: `sent` from arrival to the first send, of which `forAdapter` for the adapter
+ * and `atDoor` for the engine's holder to admit the request; `atEngine` from that send to the first event of the answer.
+ */
 interface RouteWaits {
   readonly sent: number[]
   readonly forAdapter: number[]
@@ -23,7 +26,7 @@
   readonly ends: Map<string, number>
 }
 
-/** Where an adapter had been loaded before the load in question. */
+/** Whether an adapter had been loaded before, at the same engine (`here`) or at another one. */
 type LoadOrigin = 'never before' | 'elsewhere before' | 'here before'
 
 interface Loads { readonly count: number, readonly took: readonly number[] }
@@ -109,16 +112,16 @@
     if (msg !== 'loads: load holds.' || earlier === undefined) continue
     pending.delete(key)
     loadedAt.set(name, engines.add(upstream))
-    const entry = loads.get(earlier.origin) ?? { count: 0, took: [] }
-    entry.count++
-    entry.took.push(time - earlier.at)
-    loads.set(earlier.origin, entry)
+    const ofOrigin = loads.get(earlier.origin) ?? { count: 0, took: [] }
+    ofOrigin.count++
+    ofOrigin.took.push(time - earlier.at)
+    loads.set(earlier.origin, ofOrigin)
   }
   return loads
 }
 
 function loadTable (loads: ReadonlyMap<LoadOrigin, Loads>): string {
-  const rows = [...loads].map(([origin, entry]) => [origin, String(entry.count), ...quantiles(entry.took)])
+  const rows = [...loads].map(([origin, ofOrigin]) => [origin, String(ofOrigin.count), ...quantiles(ofOrigin.took)])
   return formatTable(['loads, adapter was loaded', 'times', 'median ms', '80 in 100', '95 in 100'], rows)
 }
 
@@ -183,7 +186,7 @@
 export function reportLoad (texts: readonly string[], span: ReportSpan, form: 'text' | 'page' = 'text'): Report {
   const all = mergeLogs(texts)
   const first = all[0]
-  if (first === undefined) return report(exitCodes.badInput, 'No line of an entry is in these logs.')
+  if (first === undefined) return report(exitCodes.badInput, 'These logs contain no log line of an entry.')
   const from = first.time + (span.from ?? 0)
   const until = from + (span.length ?? Infinity)
   const lines = all.filter(({ time }) => time >= from && time < until)
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -81,7 +81,7 @@
 function parseSpan (text: string | undefined): number | undefined {
   if (text === undefined) return undefined
   const match = /^(\d+)(ms|s|m|h)$/.exec(text)
-  if (match === null) throw new UsageError(`A time span is such as 30s, 5m or 1h, not "${text}".`)
+  if (match === null) throw new UsageError(`Invalid time span "${text}": give one such as 30s, 5m or 1h.`)
   return Number(match[1]) * unitsMs[match[2]!]!
 }
 
@@ -124,7 +124,7 @@
 const cli = cac('hazelford')
 cli.option('--kv <url>', 'Key-value service (or HAZELFORD_KV)')
 cli.option('--hosts <url>', 'Host list (or HAZELFORD_HOSTS)')
-cli.option('--json', 'Output for programs')
+cli.option('--json', 'Print the output as JSON')
 
 cli.command('check <file>', 'Check a configuration text').example('hazelford check week.toml')
   .action((file: string, options: CommandOptions) => run(options, () => check(readText(file), file)))
@@ -134,25 +134,25 @@
   .example('hazelford show > week.toml  # edit it, then:').example('hazelford apply week.toml --wait')
   .action((file: string, options: CommandOptions) => run(options, () =>
     apply(context(options), readText(file), { wait: options.wait === true, dryRun: options.dryRun === true, file })))
-cli.command('show', 'Show the configuration').option('--revision <n>', 'An earlier one')
+cli.command('show', 'Show the configuration').option('--revision <n>', 'Show an earlier revision')
   .action((options: CommandOptions) => run(options, () => show(context(options), options.revision)))
 cli.command('history', 'List the revisions')
   .action((options: CommandOptions) => run(options, () => history(context(options))))
 cli.command('rollback <revision>', 'Put the text of an earlier revision in force again').option('--wait', 'Wait until it is in force everywhere')
   .action((revision: string, options: CommandOptions) => run(options, () => rollback(context(options), Number(revision), options.wait === true)))
-cli.command('status', 'Show every process').option('--watch', 'Again every second')
+cli.command('status', 'Show every process').option('--watch', 'Refresh every second')
   .action((options: CommandOptions) => options.watch === true ? watchStatus(options) : run(options, () => status(context(options))))
 cli.command('adapters', 'Show which adapters are loaded where')
   .action((options: CommandOptions) => run(options, () => adapters(context(options))))
-cli.command('drain <upstream>', 'Give an upstream no new work').option('--wait', 'Wait until it is in force everywhere').example('hazelford drain m1 --wait')
+cli.command('drain <upstream>', 'Stop sending new requests to an upstream').option('--wait', 'Wait until it is in force everywhere').example('hazelford drain m1 --wait')
   .action((name: string, options: CommandOptions) => run(options, () => setDrain(context(options), name, true, options.wait === true)))
-cli.command('undrain <upstream>', 'Give an upstream work again').option('--wait', 'Wait until it is in force everywhere')
+cli.command('undrain <upstream>', 'Send requests to a drained upstream again').option('--wait', 'Wait until it is in force everywhere')
   .action((name: string, options: CommandOptions) => run(options, () => setDrain(context(options), name, false, options.wait === true)))
-cli.command('requests <id>', 'Show the way of one request')
+cli.command('requests <id>', 'Show the events of one request')
   .action((id: string, options: CommandOptions) => run(options, () => requests(context(options), id)))
 cli.command('timeline', 'Show the events of all processes in causal order')
-  .option('--since <span>', 'Only the last 30s, 5m or 1h').option('--request <id>', 'Of one request').option('--adapter <name@version>', 'About one adapter')
-  .option('--upstream <name>', 'About one upstream').option('--kind <kind>', 'Of one kind, such as load-ended').option('--html', 'One self-contained page')
+  .option('--since <span>', 'Only events of the last 30s, 5m or 1h').option('--request <id>', 'Only events of one request').option('--adapter <name@version>', 'Only events about one adapter')
+  .option('--upstream <name>', 'Only events about one upstream').option('--kind <kind>', 'Only events of one kind, such as load-ended').option('--html', 'Print one self-contained HTML page')
   .example('hazelford timeline --since 5m --html > timeline.html')
   .action((options: CommandOptions) => run(options, () => timeline(context(options), { ...options, since: parseSpan(options.since) })))
 cli.command('explain <id> [...logs]', 'Show the decisions on a request and their reasons, from log files or standard input')
@@ -160,11 +160,11 @@
   .action((id: string, logs: readonly string[], options: CommandOptions) => run(options, () =>
     explain(id, (logs.length === 0 ? ['-'] : logs).map(readText))))
 cli.command('report [...logs]', 'Show what requests waited for, why they were refused, what was loaded and which entries held engines, from log files or standard input')
-  .option('--from <span>', 'Leave out what came before this time from the first line, such as 30s').option('--for <span>', 'Only this long from there').option('--html', 'One self-contained page with plots')
+  .option('--from <span>', 'Begin the report this long after the first log line, such as 30s').option('--for <span>', 'Length of the reported time span, such as 10s').option('--html', 'Print one self-contained HTML page with plots')
   .example('hazelford report --from 20s --for 10s entry-*.log')
   .action((logs: readonly string[], options: CommandOptions) => run(options, () =>
     reportLoad((logs.length === 0 ? ['-'] : logs).map(readText), { from: parseSpan(options.from), length: parseSpan(options.for) }, options.html === true ? 'page' : 'text')))
-cli.command('completion <shell>', 'Completion script for bash or zsh')
+cli.command('completion <shell>', 'Print a completion script for bash or zsh')
   .action((shell: string, options: CommandOptions) => run(options, () => completion(shell, cli.commands.map(command => command.name))))
 cli.help()
 cli.version('0.1.0')
@@ -172,7 +172,7 @@
 try {
   cli.parse(process.argv, { run: false })
   if (cli.matchedCommand === undefined && cli.options.help !== true && cli.options.version !== true) {
-    process.stderr.write('hazelford: name a command. "hazelford --help" lists them.\n')
+    process.stderr.write('hazelford: no command given. "hazelford --help" lists the commands.\n')
     process.exit(exitCodes.badInput)
   }
   await cli.runMatchedCommand()
--- a/packages/cli/src/test/explain.steps.ts
+++ b/packages/cli/src/test/explain.steps.ts
@@ -46,7 +46,7 @@
 When('the draft is explained', function (this: ExplainWorld) { this.report = explain('d1', this.logs) })
 
 Then('the explanation says that the draft did not run, and shows the holder that did not answer', function (this: ExplainWorld) {
-  assert.match(this.report.text, /adapter could not be had in time.*did not run/)
+  assert.match(this.report.text, /adapter was not available in time.*did not run/)
   assert.match(this.report.text, /suspected.*e2/)
   assert.match(this.report.text, /load accepted.*i-9/)
 })
--- a/packages/cli/src/test/operators.steps.ts
+++ b/packages/cli/src/test/operators.steps.ts
@@ -26,11 +26,11 @@
   readonly data = new Map<string, { value: string, modifyIndex: number }>()
   fault: WriteFault = 'none'
   writeAnother: () => void = () => {}
-  private _answersNoRead = false
+  private _readsFail = false
   private _index = 0
 
   readonly client: KvClient = {
-    read: key => this._answersNoRead ? errAsync(lost) : okAsync(this._read(key)),
+    read: key => this._readsFail ? errAsync(lost) : okAsync(this._read(key)),
     watch: key => okAsync(this._read(key)),
     list: prefix => okAsync([...this.data].filter(([key]) => key.startsWith(prefix)).map(([key, stored]) => ({ key, ...stored }))),
     cas: (key, index, value) => this._cas(key, index, value),
@@ -57,7 +57,7 @@
       case 'refused': return errAsync({ kind: 'not-applied', message: 'refused' })
       case 'late': return errAsync(lost)
       case 'all-lost':
-        this._answersNoRead = true
+        this._readsFail = true
         return errAsync(lost)
       case 'lost':
         this.store(key, index, value)
