--- a/packages/direct/src/test/batch-slots.feature
+++ b/packages/direct/src/test/batch-slots.feature
@@ -4,7 +4,7 @@
     Symptom: half of the drafts begin late, though a third of all batch slots is free.
     Events: 68 entries send 330 streams a second to 84 engines of 12 batch slots each; each entry seldom sends to any one engine.
     Cause: each entry knows only its own streams, so no entry knows which engine is full.
-    Without shared counts 89 in 100 begin in time and 113 streams wait while batch slots are free; with slots granted by holders 99, and 9.
+    If each entry counts only its own streams, 89 in 100 begin in time and 113 wait while batch slots are free; with slots granted by holders, 99 in 100 begin in time and 9 wait.
     Then with batch slots granted by holders 98 in 100 streams begin in time, and 12 at most wait while batch slots are free
 
   Scenario: an engine's batch slots
--- a/packages/direct/src/test/batch-slots.steps.ts
+++ b/packages/direct/src/test/batch-slots.steps.ts
@@ -22,25 +22,25 @@
 Then('a holder counts the requests that it admitted less those that entries report as ended, in any sequence', () => {
   const change = fc.record({ entry: fc.constantFrom('a', 'b', 'c'), begins: fc.boolean() })
   fc.assert(fc.property(fc.array(change, { maxLength: 60 }), changes => {
-    const places = new BatchSlots(12)
+    const batchSlots = new BatchSlots(12)
     const open = new Map<string, number>()
     changes.forEach(({ entry, begins }, at) => {
       const before = open.get(entry) ?? 0
       open.set(entry, begins ? before + 1 : Math.max(0, before - 1))
-      if (begins) places.admit(entry, at)
-      else places.note(entry, open.get(entry)!, at)
+      if (begins) batchSlots.admit(entry, at)
+      else batchSlots.note(entry, open.get(entry)!, at)
       const all = [...open.values()].reduce((sum, each) => sum + each, 0)
-      assert.equal(places.running(at), all)
-      assert.equal(places.free(at), Math.max(0, 12 - all))
+      assert.equal(batchSlots.running(at), all)
+      assert.equal(batchSlots.free(at), Math.max(0, 12 - all))
     })
   }), { seed: propertySeed })
 })
 
 Then('the requests of a lost entry no longer count after {int} s', (seconds: number) => {
-  const places = new BatchSlots(12)
-  places.note('lost', 7, 0)
-  assert.equal(places.running(seconds * 1_000 - 1), 7)
-  assert.equal(places.running(seconds * 1_000), 0)
+  const batchSlots = new BatchSlots(12)
+  batchSlots.note('lost', 7, 0)
+  assert.equal(batchSlots.running(seconds * 1_000 - 1), 7)
+  assert.equal(batchSlots.running(seconds * 1_000), 0)
 })
 
 Then('whatever is not a load digest is ignored', () => {
--- a/packages/direct/src/test/peers.feature
+++ b/packages/direct/src/test/peers.feature
@@ -19,14 +19,14 @@
 
   Scenario: entries whose leases have lapsed in an outage of the store
     Guards against each entry taking the whole of the shared retry budget for itself until it learns of the others again.
-    When 22 entries that know each other are listed each by itself for 1500 ms
+    When 22 entries that know each other each list only themselves for 1500 ms
     Then their retries keep within a slack of 50 in every 10 s
 
   Scenario: entries that have left
-    When 22 entries that know each other are listed each by itself for 6000 ms
-    Then each counts one entry
+    When 22 entries that know each other each list only themselves for 6000 ms
+    Then each counts only itself
 
   Scenario: calls of an entry that has stopped
-    Guards against calls of a stopped entry to a port that another process may have taken by then.
+    Guards against a stopped entry calling a port that another process may have taken by then.
     When an entry that has stopped requests another entry's state
     Then the other entry gets no call
--- a/packages/direct/src/test/peers.steps.ts
+++ b/packages/direct/src/test/peers.steps.ts
@@ -17,7 +17,7 @@
 import { SlowLink } from './support/slow-link.js'
 
 const loopback = '127.0.0.1'
-/** How long a following entry waits for changes. */
+/** How long an entry that follows the change feed of another waits for changes. */
 const feedWaitMs = 400
 const bitsPerByte = 8
 
@@ -102,7 +102,7 @@
   return { key: entryKey(node), value: JSON.stringify({ node, host: loopback, port: n + 1 }), revision: n + 1 }
 }
 
-When('{int} entries that know each other are listed each by itself for {int} ms', function (this: PeersWorld, entries: number, ms: number) {
+When('{int} entries that know each other each list only themselves for {int} ms', function (this: PeersWorld, entries: number, ms: number) {
   this.clock = new FakeClock()
   this.tables = Array.from({ length: entries }, () => new PeerTable(this.clock, () => {}))
   const all = Array.from({ length: entries }, (_, n) => registrationOf(n))
@@ -121,6 +121,6 @@
   assert.ok(retries > 0 && retries <= slack, `${retries} retries`)
 })
 
-Then('each counts one entry', function (this: PeersWorld) {
+Then('each counts only itself', function (this: PeersWorld) {
   assert.deepEqual(this.tables.map(({ entryCount }) => entryCount), this.tables.map(() => 1))
 })
--- a/packages/direct/src/test/support/batch-slot-simulation.ts
+++ b/packages/direct/src/test/support/batch-slot-simulation.ts
@@ -41,7 +41,7 @@
 const maxCandidatesAsked = 3
 
 interface Stream { readonly since: Ms, until: Ms, readonly entry: string }
-interface Engine { readonly id: string, readonly holder: number, readonly places: BatchSlots, running: Stream[], waiting: Stream[] }
+interface Engine { readonly id: string, readonly holder: number, readonly batchSlots: BatchSlots, running: Stream[], waiting: Stream[] }
 type Known = Map<string, { readonly running: number, readonly at: Ms }>
 
 class BatchSlotSimulation {
@@ -58,7 +58,7 @@
 
   constructor (private readonly _workload: BatchSlotWorkload) {
     this._random = seededRandom(_workload.seed)
-    this._engines = Array.from({ length: _workload.engines }, (_, n) => ({ id: `i-${n}`, holder: n % _workload.entries, places: new BatchSlots(_workload.places), running: [], waiting: [] }))
+    this._engines = Array.from({ length: _workload.engines }, (_, n) => ({ id: `i-${n}`, holder: n % _workload.entries, batchSlots: new BatchSlots(_workload.places), running: [], waiting: [] }))
     this._known = Array.from({ length: _workload.entries }, () => new Map())
     this._ownStreams = Array.from({ length: _workload.entries }, () => new Map())
   }
@@ -94,7 +94,7 @@
   private _endStream (engine: Engine, entry: string): void {
     const own = this._ownStreams[Number(entry)]!
     own.set(engine.id, (own.get(engine.id) ?? 1) - 1)
-    engine.places.note(entry, own.get(engine.id)!, this._now)
+    engine.batchSlots.note(entry, own.get(engine.id)!, this._now)
   }
 
   private _arriveStream (): void {
@@ -103,7 +103,7 @@
     const engine = this._choose(entry)
     const own = this._ownStreams[entry]!
     own.set(engine.id, (own.get(engine.id) ?? 0) + 1)
-    engine.places.admit(stream.entry, this._now)
+    engine.batchSlots.admit(stream.entry, this._now)
     engine.waiting.push(stream)
   }
 
@@ -112,7 +112,7 @@
     if (this._workload.knowsOwnOnly) return ranked[0]!
     for (const engine of ranked.slice(0, maxCandidatesAsked)) {
       this._exchange(entry, engine)
-      if (engine.places.expectedWait(engine.waiting.length, this._workload.serviceTime, this._now) <= maxExpectedWait) return engine
+      if (engine.batchSlots.expectedWait(engine.waiting.length, this._workload.serviceTime, this._now) <= maxExpectedWait) return engine
     }
     return ranked[0]!
   }
@@ -125,7 +125,7 @@
   }
 
   private _digests (entry: number): readonly LoadDigest[] {
-    const own = this._engines.filter(({ holder }) => holder === entry).map(({ id, places }) => ({ upstream: id, running: places.running(this._now), promptBacklog: 0, age: 0 }))
+    const own = this._engines.filter(({ holder }) => holder === entry).map(({ id, batchSlots }) => ({ upstream: id, running: batchSlots.running(this._now), promptBacklog: 0, age: 0 }))
     const received = [...this._known[entry]!].map(([upstream, { running, at }]) => ({ upstream, running, promptBacklog: 0, age: this._now - at })).filter(({ age }) => age < 2_000)
     return pickDigests(own, received, this._random)
   }
--- a/packages/direct/src/test/support/usage-simulation.ts
+++ b/packages/direct/src/test/support/usage-simulation.ts
@@ -19,7 +19,7 @@
   | { readonly kind: 'cut', readonly entry: number, readonly at: Ms, readonly until: Ms }
   /** All leases in the store lapse: each entry lists only itself until the others have registered again. */
   | { readonly kind: 'lapse', readonly at: Ms, readonly until: Ms }
-  /** The entry ends and starts again without its state. */
+  /** The entry stops and starts again without its state. */
   | { readonly kind: 'restart', readonly entry: number, readonly at: Ms }
 
 /** One organisation's callers. */
@@ -28,7 +28,7 @@
   /** Units a second that the organisation may use. */
   readonly limit: number
   /** Mean units a second that its callers request. */
-  readonly asked: number
+  readonly requested: number
   /** Number of entries that its callers are connected to. */
   readonly entries: number
   /** Mean units of a request; each request takes exactly one where this is 1. */
@@ -55,7 +55,7 @@
 
 /** Result of a simulation. */
 export interface UsageResult {
-  /** Share of refused units among those that a single bucket for all entries admits; of the organisation with the highest share. */
+  /** Share of refused units among those that a single bucket for all entries admits; for the organisation with the highest share. */
   readonly refusedWithinLimit: number
   /** Units used, as a share of those requested. */
   readonly admitted: number
@@ -212,7 +212,7 @@
   }
 
   private _drawArrivals (demand: UsageDemand, reference: ReferenceBucket): void {
-    const expected = demand.asked / demand.cost * step / 1_000
+    const expected = demand.requested / demand.cost * step / 1_000
     for (let left = expected; left > 0; left--) {
       if (this._random() >= left) continue
       // Callers keep their connections, and some entries have many more of them than others.
--- a/packages/direct/src/test/usage.feature
+++ b/packages/direct/src/test/usage.feature
@@ -8,40 +8,40 @@
     Then with an allocator at most 2 in 100 units are refused within the limit, with equal parts over 25
 
   Scenario: an organisation that requests several times its limit
-    Then use exceeds the limit in no window, and over 90 in 100 units of what it allows are used
+    Then use stays within the limit in every window, and over 90 in 100 units of what it allows are used
 
   Scenario: an organisation that requests a tenth more than its rate all the time
-    Symptom: an organisation gets 429 now and then, though in no window it uses all that it may.
+    Symptom: an organisation gets 429 now and then, though it never uses all that a window allows.
     Events: it requests a little more than its rate; its burst is used up in the first seconds.
     Cause: the burst can only be used at once, and refills only while less than the rate is requested.
     If the burst is granted at once, 97 in 100 units are admitted; spread over the window, all.
-    Then at least 99 in 100 units are admitted, and use exceeds the limit in no window
+    Then at least 99 in 100 units are admitted, and use stays within the limit in every window
 
   Scenario: entries that are cut off or restart, allocators among them
     Symptom: an organisation uses twice its limit.
     Events: the entry that allocates its usage is cut off while others go on; entries restart.
     Cause: two entries allocate the usage of one organisation, and each grants all of it.
-    Then use exceeds the limit in no window, whichever entries are cut off or restart
+    Then use stays within the limit in every window, whichever entries are cut off or restart
 
   Scenario: an entry that is cut off from many others
     Symptom: requests with API keys get no answer for seconds, and then miss their deadline.
     Events: one of 40 entries is cut off from all others.
     Cause: it asks the possible allocators one after the other, 150 ms each, while its callers wait.
-    Then at an entry that is cut off from 39 other entries, no request waits for longer than 1200 ms, and use exceeds the limit in no window
+    Then at an entry that is cut off from 39 other entries, no request waits for longer than 1200 ms, and use stays within the limit in every window
     And at least 9 in 10 units of its requests are admitted, if they are less than its equal part
 
   Scenario: upstreams with low request limits, and entries cut off or restarted among many
     Guards against more requests than an upstream's limit allows across all entries, and against leaving most of a limit unused.
-    Then an upstream gets at most what 4 s allow from 30 entries, and over 90 in 100 of its limit, whatever limit it names
-    And it gets at most what 4 s allow from 6 entries, whichever of them are cut off or restart
+    Then 30 entries send an upstream at most what its limit allows in 4 s, and over 90 in 100 of its limit, whatever limit it names
+    And 6 entries send it at most what its limit allows in 4 s, whichever of them are cut off or restart
 
   Scenario: entries that are gone from each other's lists for a while
     Guards against each entry granting itself the whole of a limit, after their leases in the store have lapsed.
-    Then use exceeds the limits of an upstream and an organisation in no window, while each entry lists only itself for 1500 ms
+    Then use stays within the limits of an upstream and an organisation in every window, while each entry lists only itself for 1500 ms
 
   Scenario: entries that start while lists hold no other entry
     Guards against a newly started entry granting itself the whole of a limit, because it does not know the other entries yet.
-    Then use exceeds the limits of an upstream and an organisation in no window, while entries start in 1500 ms in which each entry lists only itself
+    Then use stays within the limits of an upstream and an organisation in every window, while entries start in 1500 ms in which each entry lists only itself
 
   Scenario: an organisation that the allocator does not know yet
     Symptom: callers of a newly added organisation get 429 for a second, and entries send each other requests in a loop.
--- a/packages/direct/src/test/usage.steps.ts
+++ b/packages/direct/src/test/usage.steps.ts
@@ -19,11 +19,11 @@
 const entries = 22
 const length = 14_000
 /** A large and a small organisation, in the proportions of 16 organisations with 240 requests a second in all. */
-const large: UsageDemand = { organisation: 'large', limit: 146_000, asked: 81_000, entries: 14, cost: 1_100 }
-const small: UsageDemand = { organisation: 'small', limit: 9_000, asked: 5_000, entries: 4, cost: 900 }
+const large: UsageDemand = { organisation: 'large', limit: 146_000, requested: 81_000, entries: 14, cost: 1_100 }
+const small: UsageDemand = { organisation: 'small', limit: 9_000, requested: 5_000, entries: 4, cost: 900 }
 
 /** An organisation whose callers are connected to all entries. */
-const scattered: UsageDemand = { organisation: 'scattered', limit: 9_400, asked: 5_200, entries: 22, cost: 1_500 }
+const scattered: UsageDemand = { organisation: 'scattered', limit: 9_400, requested: 5_200, entries: 22, cost: 1_500 }
 
 function workload (over: Partial<UsageWorkload>): UsageWorkload { return { allocation: 'allocator', entries, demands: [large, small, scattered], faults: [], length, seed: 1, ...over } }
 
@@ -37,8 +37,8 @@
   }
 })
 
-Then('use exceeds the limit in no window, and over {int} in {int} units of what it allows are used', async (least: number, of: number) => {
-  for (const demand of [{ ...large, asked: 600_000 }, { ...small, asked: 40_000 }]) {
+Then('use stays within the limit in every window, and over {int} in {int} units of what it allows are used', async (least: number, of: number) => {
+  for (const demand of [{ ...large, requested: 600_000 }, { ...small, requested: 40_000 }]) {
     const result = await simulateUsage(workload({ demands: [demand] }))
     console.log(`usage beyond the limit, ${demand.organisation}: ${JSON.stringify(result)}`)
     assert.ok(result.worstWindow <= 1, `worst window ${result.worstWindow}`)
@@ -46,8 +46,8 @@
   }
 })
 
-Then('at least {int} in {int} units are admitted, and use exceeds the limit in no window', async (least: number, of: number) => {
-  const result = await simulateUsage(workload({ demands: [{ ...large, asked: 1.1 * large.limit }], length: 24_000 }))
+Then('at least {int} in {int} units are admitted, and use stays within the limit in every window', async (least: number, of: number) => {
+  const result = await simulateUsage(workload({ demands: [{ ...large, requested: 1.1 * large.limit }], length: 24_000 }))
   console.log(`usage a tenth beyond the rate: ${JSON.stringify(result)}`)
   assert.ok(result.admitted >= least / of, `admitted ${result.admitted}`)
   assert.ok(result.worstWindow <= 1, `worst window ${result.worstWindow}`)
@@ -59,16 +59,16 @@
   fc.record({ kind: fc.constant('restart' as const), entry: fc.integer({ min: 0, max: 5 }), at: fc.integer({ min: 0, max: 10_000 }) })
 )
 
-Then('use exceeds the limit in no window, whichever entries are cut off or restart', async () => {
-  const demands = [{ ...large, asked: 500_000, entries: 6 }]
+Then('use stays within the limit in every window, whichever entries are cut off or restart', async () => {
+  const demands = [{ ...large, requested: 500_000, entries: 6 }]
   await fc.assert(fc.asyncProperty(fc.array(fault, { minLength: 1, maxLength: 8 }), async faults => {
     const result = await simulateUsage(workload({ entries: 6, demands, faults, length: 10_000 }))
     assert.ok(result.worstWindow <= 1, `worst window ${result.worstWindow}`)
   }), { seed: propertySeed, numRuns: 60, endOnFailure: true })
 })
 
-Then('at an entry that is cut off from {int} other entries, no request waits for longer than {int} ms, and use exceeds the limit in no window', async (others: number, most: Ms) => {
-  const demands = [{ ...large, asked: 400_000, entries: 8 }]
+Then('at an entry that is cut off from {int} other entries, no request waits for longer than {int} ms, and use stays within the limit in every window', async (others: number, most: Ms) => {
+  const demands = [{ ...large, requested: 400_000, entries: 8 }]
   const faults: UsageFault[] = [{ kind: 'cut', entry: 0, at: 2_000, until: 9_500 }]
   const { longestWait, worstWindow } = await simulateUsage(workload({ entries: others + 1, demands, faults, length: 10_000 }))
   assert.ok(longestWait <= most, `waited ${longestWait} ms`)
@@ -76,7 +76,7 @@
 })
 
 Then('at least {int} in {int} units of its requests are admitted, if they are less than its equal part', async (least: number, of: number) => {
-  const demands = [{ ...large, asked: 2_000, cost: 100, entries: 1 }]
+  const demands = [{ ...large, requested: 2_000, cost: 100, entries: 1 }]
   const { admitted } = await simulateUsage(workload({ entries: 40, demands, faults: [{ kind: 'cut', entry: 0, at: 1_000, until: 11_000 }], length: 10_000 }))
   assert.ok(admitted >= least / of, `admitted ${admitted}`)
 })
@@ -85,11 +85,11 @@
 const judgedLimit: UsageBounds = { window: 4_000, overage: 0.5, slack: 5 }
 
 function limited (limit: number, among: number): UsageWorkload {
-  const demand: UsageDemand = { organisation: 'upstream', limit, asked: 60, entries: among, cost: 1, burst: 0 }
+  const demand: UsageDemand = { organisation: 'upstream', limit, requested: 60, entries: among, cost: 1, burst: 0 }
   return workload({ entries: among, demands: [demand], bounds: limitBounds, judgedBounds: judgedLimit, waitsForCredit: false, length: 10_000 })
 }
 
-Then('an upstream gets at most what 4 s allow from {int} entries, and over {int} in {int} of its limit, whatever limit it names', async (among: number, least: number, of: number) => {
+Then('{int} entries send an upstream at most what its limit allows in 4 s, and over {int} in {int} of its limit, whatever limit it names', async (among: number, least: number, of: number) => {
   for (const limit of [1, 1.4, 8, 30]) {
     const result = await simulateUsage(limited(limit, among))
     assert.ok(result.worstWindow <= 1, `limit ${limit}: worst window ${result.worstWindow}`)
@@ -97,7 +97,7 @@
   }
 })
 
-Then('it gets at most what 4 s allow from {int} entries, whichever of them are cut off or restart', async (among: number) => {
+Then('{int} entries send it at most what its limit allows in 4 s, whichever of them are cut off or restart', async (among: number) => {
   await fc.assert(fc.asyncProperty(fc.array(fault, { minLength: 1, maxLength: 8 }), fc.constantFrom(0.5, 1.4, 9), async (faults, limit) => {
     const result = await simulateUsage({ ...limited(limit, among), faults })
     assert.ok(result.worstWindow <= 1, `limit ${limit}: worst window ${result.worstWindow}`)
@@ -105,23 +105,23 @@
 })
 
 Then('a caller refused for the limit of an upstream or an organisation gets a retry-after of {int} ms or more', async (least: number) => {
-  for (const simulated of [limited(1.4, 5), limited(8, 30), workload({ demands: [{ ...large, asked: 600_000 }] })]) {
+  for (const simulated of [limited(1.4, 5), limited(8, 30), workload({ demands: [{ ...large, requested: 600_000 }] })]) {
     const { shortestRetryAfter } = await simulateUsage(simulated)
     assert.ok(shortestRetryAfter >= least, `retry-after ${shortestRetryAfter} ms`)
   }
 })
 
 async function assertWithinLimits (faults: readonly UsageFault[]): Promise<void> {
-  const workloads = [limited(1.4, 5), limited(8, 30), workload({ demands: [{ ...large, asked: 600_000 }] })]
+  const workloads = [limited(1.4, 5), limited(8, 30), workload({ demands: [{ ...large, requested: 600_000 }] })]
   const worst = await Promise.all(workloads.map(async each => (await simulateUsage({ ...each, faults })).worstWindow))
   assert.ok(Math.max(...worst) <= 1, `worst windows ${worst.join()}`)
 }
 
 function lapse (lasts: number): UsageFault { return { kind: 'lapse', at: 3_000, until: 3_000 + lasts } }
 
-Then('use exceeds the limits of an upstream and an organisation in no window, while each entry lists only itself for {int} ms', (lasts: number) => assertWithinLimits([lapse(lasts)]))
+Then('use stays within the limits of an upstream and an organisation in every window, while each entry lists only itself for {int} ms', (lasts: number) => assertWithinLimits([lapse(lasts)]))
 
-Then('use exceeds the limits of an upstream and an organisation in no window, while entries start in {int} ms in which each entry lists only itself', (lasts: number) => {
+Then('use stays within the limits of an upstream and an organisation in every window, while entries start in {int} ms in which each entry lists only itself', (lasts: number) => {
   const starts = [0, 1, 2, 3].map((entry): UsageFault => ({ kind: 'restart', entry, at: 3_500 + entry * 200 }))
   return assertWithinLimits([lapse(lasts), ...starts])
 })
@@ -175,16 +175,16 @@
   assert.ok(this.messages <= messages, `${this.messages} messages`)
 })
 
-interface NoAllocatorWorld { asked: Map<string, number>, reportsAfterStop: number }
+interface NoAllocatorWorld { reportsByEntry: Map<string, number>, reportsAfterStop: number }
 
 const refusedAfterMs = 150
 
 When('none of {int} possible allocators accepts reports, though all answer, and the entry stops after {int} ms', async function (this: NoAllocatorWorld, others: number, stopsAfter: number) {
   const peers = rankedEntries(others + 1)
   const clock = new FakeClock()
-  const asked = new Map<string, number>()
+  const reportsByEntry = new Map<string, number>()
   const coordinator = coordinatorAmong(peers, peers.at(-1)!.node, clock, [newcomer], async ({ node }) => {
-    asked.set(node, (asked.get(node) ?? 0) + 1)
+    reportsByEntry.set(node, (reportsByEntry.get(node) ?? 0) + 1)
     await sleep(clock, refusedAfterMs)
     throw new Error('the allocator answered 404')
   })
@@ -196,15 +196,15 @@
   }
   await pass(stopsAfter)
   coordinator.stop()
-  this.asked = new Map(asked)
+  this.reportsByEntry = new Map(reportsByEntry)
   await pass(refusedAfterMs)
-  const before = [...asked.values()].reduce((sum, times) => sum + times, 0)
+  const before = [...reportsByEntry.values()].reduce((sum, times) => sum + times, 0)
   await pass(stopsAfter)
-  this.reportsAfterStop = [...asked.values()].reduce((sum, times) => sum + times, 0) - before
+  this.reportsAfterStop = [...reportsByEntry.values()].reduce((sum, times) => sum + times, 0) - before
 })
 
 Then('each got {int} reports at most, and none from then on', function (this: NoAllocatorWorld, most: number) {
-  assert.ok(Math.max(...this.asked.values()) <= most, [...this.asked].join(' '))
+  assert.ok(Math.max(...this.reportsByEntry.values()) <= most, [...this.reportsByEntry].join(' '))
   assert.equal(this.reportsAfterStop, 0)
 })
 
