--- a/packages/bench/src/lib/fake-peers.ts
+++ b/packages/bench/src/lib/fake-peers.ts
@@ -16,7 +16,7 @@
 
 const heartbeatMs = 250
 const loadedAdapters = 16
-/** A sidecar's adapters change about every two seconds at the rate of loads of the deployments: every eighth heartbeat lists them. */
+/** At the deployments' load rates a sidecar's adapters change about every two seconds, so every eighth heartbeat lists them. */
 const heartbeatsPerAdapterChange = 8
 
 function heartbeat (revision: number): SidecarHeartbeat {
--- a/packages/bench/src/lib/guards/entry-guards.ts
+++ b/packages/bench/src/lib/guards/entry-guards.ts
@@ -70,7 +70,7 @@
     scenario: 'a slot that a request was promised'
   },
   {
-    guarantee: 'leaving upstreams: their own notice is followed',
+    guarantee: 'leaving upstreams: an upstream\'s own notice that it leaves is followed',
     file: 'packages/direct/dist/lib/notice-coordinator.js',
     find: 'this._options.leavingAnnounced(upstream);',
     replace: '',
--- a/packages/bench/src/lib/guards/shared-guards.ts
+++ b/packages/bench/src/lib/guards/shared-guards.ts
@@ -64,7 +64,7 @@
     scenario: 'entries whose leases have lapsed'
   },
   {
-    guarantee: 'usage limits: an entry that is cut off detects it soon',
+    guarantee: 'usage limits: an entry detects soon that it is cut off',
     file: 'packages/direct/dist/lib/usage-coordinator.js',
     find: 'asked *= 2',
     replace: 'asked *= 1',
--- a/packages/bench/src/lib/guards/sidecar-guards.ts
+++ b/packages/bench/src/lib/guards/sidecar-guards.ts
@@ -46,7 +46,7 @@
     scenario: 'any order and any repeats'
   },
   {
-    guarantee: 'whole answers: the end waits for every chunk',
+    guarantee: 'whole answers: an answer ends only after every chunk',
     file: 'packages/engine/dist/lib/engine-client.js',
     find: 'if (this._resumed)',
     replace: 'if (false)',
--- a/packages/bench/src/lib/policy/hazelford-policy.ts
+++ b/packages/bench/src/lib/policy/hazelford-policy.ts
@@ -45,7 +45,7 @@
     this._grant()
   }
 
-  giveBack (engine: number, took?: number, loaded = true): void {
+  returnPermit (engine: number, took?: number, loaded = true): void {
     if (took !== undefined) this._throttles.get(engine)?.ended(took, loaded)
     if (this._context.conditions.kvDown === true) return
     this._free++
@@ -73,7 +73,7 @@
   private readonly _arrivals = new Map<string, Arrival>()
   private readonly _loaded = new Set<string>()
   private _epoch = 0
-  private _reportDue = false
+  private _isReportScheduled = false
 
   constructor (
     private readonly _context: PolicyContext,
@@ -139,7 +139,7 @@
       case 'want-permit':
         this._permits.acquire(this._index, effect.rank, () => this._post({ kind: 'permit', at: queue.now }))
         return
-      case 'return-permit': return this._permits.giveBack(this._index)
+      case 'return-permit': return this._permits.returnPermit(this._index)
       case 'load': return this._load(effect.adapter)
       case 'unload':
         this._loaded.delete(effect.adapter)
@@ -160,17 +160,17 @@
     const epoch = this._epoch
     store.load(() => {
       const loaded = epoch === this._epoch && random.unit() >= (conditions.failShare ?? 0)
-      this._permits.giveBack(this._index, queue.now - from, loaded)
+      this._permits.returnPermit(this._index, queue.now - from, loaded)
       if (loaded) {
         this._loaded.add(adapter)
         events.loaded(adapter)
         for (const arrival of this._arrivals.values()) if (arrival.adapter === adapter) events.ready(arrival.id)
       }
       this._post({ kind: 'load-ended', at: queue.now, adapter, loaded, took: queue.now - from })
-      if (this._reportDue) return
-      this._reportDue = true
+      if (this._isReportScheduled) return
+      this._isReportScheduled = true
       queue.after(minGapMs, () => {
-        this._reportDue = false
+        this._isReportScheduled = false
         this._reportSoon()
       })
     })
--- a/packages/bench/src/lib/policy/policy.ts
+++ b/packages/bench/src/lib/policy/policy.ts
@@ -40,4 +40,4 @@
 }
 
 /** Creates a policy in an environment. */
-export type CreatePolicy = (world: PolicyContext) => Policy
+export type CreatePolicy = (context: PolicyContext) => Policy
--- a/packages/bench/src/lib/run-soak.ts
+++ b/packages/bench/src/lib/run-soak.ts
@@ -95,20 +95,20 @@
   }
 
   private async _injectFaults (end: number): Promise<void> {
-    const ends: Promise<void>[] = []
+    const faultEnds: Promise<void>[] = []
     while (performance.now() < end - faultFreeTailMs) {
       const fault = soakFaults[this._faultRandom.below(soakFaults.length)]!
       this._faults++
-      const stop = fault.begin(this._fleet, this._faultRandom, this._state)
+      const begun = fault.begin(this._fleet, this._faultRandom, this._state)
       this._trace(`begin ${fault.name}`)
-      ends.push(stop.then(async finish => {
+      faultEnds.push(begun.then(async endFault => {
         await pause(this._faultRandom.unit() * faultLengthMs)
-        await finish()
+        await endFault()
         this._trace(`end   ${fault.name}`)
       }))
       await pause(this._faultRandom.exponential(faultGapMs))
     }
-    await Promise.all(ends)
+    await Promise.all(faultEnds)
   }
 
   private async _watchRevisions (): Promise<void> {
@@ -155,7 +155,7 @@
     const bookings = await Promise.all(this._bookings)
     const { entryKills } = this._state
     const record = { completions, bookings, entryKills, revisionDrops: this._revisionDrops }
-    const all = [...completions, ...bookings.flatMap(story => story.attempts)]
+    const all = [...completions, ...bookings.flatMap(booking => booking.attempts)]
     const violations = [...problems, ...findViolations(this._fleet, record, tokens)]
     for (const violation of violations.slice(0, shownViolations)) this._print(`violation: ${violation}`)
     this._printErrorCodes(all)
--- a/packages/bench/src/lib/soak-checks.ts
+++ b/packages/bench/src/lib/soak-checks.ts
@@ -30,7 +30,7 @@
 function checkCompletion (result: CallerResult, tokens: number): string | undefined {
   const expected = modelText(result.model, tokens)
   if (result.status === 200 && result.whole && result.text !== expected) return `${result.token}: a completed answer is not the whole answer of ${result.model}: "${result.text}"`
-  if (result.status === 200 && !expected.startsWith(result.text)) return `${result.token}: text of another request than ${result.model}`
+  if (result.status === 200 && !expected.startsWith(result.text)) return `${result.token}: the answer contains text that is not from ${result.model}`
   return undefined
 }
 
--- a/packages/bench/src/lib/soak-faults.ts
+++ b/packages/bench/src/lib/soak-faults.ts
@@ -16,14 +16,14 @@
   /** Times at which an entry was killed; callers may lose their connection then. */
   readonly entryKills: number[]
   drained: readonly string[]
-  /** Processes that a fault has paused or is replacing. */
+  /** Processes that a fault has paused or is replacing; `entries` and `config` mark a fault that replaces an entry or drains an upstream. */
   readonly busy: Set<string>
 }
 
 const noCleanup = async (): Promise<void> => {}
 
 /** Number of active faults that set a switch, and its value before the first of them. */
-interface SwitchOverride { holders: number, readonly before: unknown }
+interface SwitchOverride { activeFaults: number, readonly before: unknown }
 
 const switchOverrides = new Map<object, Map<PropertyKey, SwitchOverride>>()
 
@@ -34,13 +34,13 @@
 function overrideSwitch<T extends object, K extends keyof T> (target: T, key: K, value: T[K]): () => Promise<void> {
   const switches = switchOverrides.get(target) ?? new Map<PropertyKey, SwitchOverride>()
   switchOverrides.set(target, switches)
-  const override = switches.get(key) ?? { holders: 0, before: target[key] }
+  const override = switches.get(key) ?? { activeFaults: 0, before: target[key] }
   switches.set(key, override)
-  override.holders++
+  override.activeFaults++
   target[key] = value
   return async () => {
-    override.holders--
-    if (override.holders > 0) return
+    override.activeFaults--
+    if (override.activeFaults > 0) return
     switches.delete(key)
     target[key] = override.before as T[K]
   }
--- a/packages/bench/src/test/bad-input.steps.ts
+++ b/packages/bench/src/test/bad-input.steps.ts
@@ -10,7 +10,7 @@
 import { LocalSystem, waitUntil } from './support/local-system.js'
 import type { SystemWorld } from './support/world.js'
 
-interface BadWorld extends SystemWorld { status: number, body: { error?: { code: string, message: string, verdict: string } }, seen: Record<string, string> }
+interface BadWorld extends SystemWorld { status: number, body: { error?: { code: string, message: string, verdict: string } }, receivedHeaders: Record<string, string> }
 
 interface BadRequest { readonly path: string, readonly body: string | Iterable<Buffer>, readonly headers?: Record<string, string> }
 
@@ -78,13 +78,13 @@
   await res.body.dump()
   assert.equal(res.headers['x-own'], 'yes')
   assert.notEqual(res.headers['keep-alive'], 'timeout=99')
-  this.seen = this.system.plains[0]!.echoed()
+  this.receivedHeaders = this.system.plains[0]!.echoed()
 })
 
 Then('the service receives only the end-to-end headers', function (this: BadWorld) {
-  assert.equal(this.seen['x-custom'], 'mine')
-  assert.equal(this.seen.accept, 'text/plain')
-  for (const name of ['x-fencing-number', 'x-hazelford-secret', 'x-hazelford-class', 'te']) assert.equal(this.seen[name], undefined, name)
+  assert.equal(this.receivedHeaders['x-custom'], 'mine')
+  assert.equal(this.receivedHeaders.accept, 'text/plain')
+  for (const name of ['x-fencing-number', 'x-hazelford-secret', 'x-hazelford-class', 'te']) assert.equal(this.receivedHeaders[name], undefined, name)
 })
 
 Given('a system whose service "front" depends on "booking"', async function (this: SystemWorld) {
--- a/packages/bench/src/test/bookings.feature
+++ b/packages/bench/src/test/bookings.feature
@@ -32,7 +32,7 @@
     Given a system with 2 booking services and 2 entries
     And the booking services take 300 ms
     When a booking "one" is sent 3 times at once with its idempotency key
-    Then every answer is a booking or says that it may have run
+    Then every answer confirms the booking or says that it may have run
     And booking "one" ran 1 time
 
   Scenario: the sidecar that ran a booking fails and the repeat reaches another one
--- a/packages/bench/src/test/bookings.steps.ts
+++ b/packages/bench/src/test/bookings.steps.ts
@@ -108,7 +108,7 @@
   assert.deepEqual([repeat.status, repeat.text, repeat.replayed], [first.status, first.text, true])
 })
 
-Then('every answer is a booking or says that it may have run', function (this: SystemWorld) {
+Then('every answer confirms the booking or says that it may have run', function (this: SystemWorld) {
   for (const result of this.results) assert.ok(result.status === 201 || result.verdict === 'may-have-run', `${result.status} ${result.verdict}`)
 })
 
--- a/packages/bench/src/test/ending-requests.feature
+++ b/packages/bench/src/test/ending-requests.feature
@@ -7,4 +7,4 @@
     Cause: neither sidecars nor entries remember which requests were running when an engine terminated.
     Given a whole system with 4 engines, 1 booking services and 2 entries
     When a completion that terminates each engine is requested every 100 ms for 6 s, at the entries in turn
-    Then it terminates 3 engines at most later than 3 s after the third termination
+    Then at most 3 engines terminate later than 3 s after the third termination
--- a/packages/bench/src/test/ending-requests.steps.ts
+++ b/packages/bench/src/test/ending-requests.steps.ts
@@ -9,7 +9,7 @@
 const timeout = 30_000
 const crashPrompt = 'ending'
 /** Engines that may terminate while running a request before the bound on its further attempts applies. */
-const allowedEnds = 3
+const allowedTerminations = 3
 
 When('a completion that terminates each engine is requested every {int} ms for {int} s, at the entries in turn', { timeout }, async function (this: SystemWorld, everyMs: number, seconds: number) {
   const { engines, entries } = this.system
@@ -23,10 +23,10 @@
   await Promise.all(attempts)
 })
 
-Then('it terminates {int} engines at most later than {int} s after the third termination', function (this: SystemWorld, most: number, seconds: number) {
-  const ends = this.system.engines.flatMap(engine => engine.ends).sort((a, b) => a - b)
-  const third = ends[allowedEnds - 1]
-  assert.ok(third !== undefined, `${ends.length} engines terminated`)
-  const late = ends.filter(at => at > third + seconds * 1_000)
-  assert.ok(late.length <= most, `${late.length} later, ${ends.length} in all`)
+Then('at most {int} engines terminate later than {int} s after the third termination', function (this: SystemWorld, most: number, seconds: number) {
+  const terminations = this.system.engines.flatMap(engine => engine.crashTimes).sort((a, b) => a - b)
+  const third = terminations[allowedTerminations - 1]
+  assert.ok(third !== undefined, `${terminations.length} engines terminated`)
+  const late = terminations.filter(at => at > third + seconds * 1_000)
+  assert.ok(late.length <= most, `${late.length} later, ${terminations.length} in all`)
 })
--- a/packages/bench/src/test/eviction.feature
+++ b/packages/bench/src/test/eviction.feature
@@ -9,7 +9,7 @@
     And the engine runs 1 request
     And 5 tokens of "b@1" are requested, streamed
     Then the answer is all 5 tokens of "b@1"
-    And the first caller gets all 30 tokens of "a@1"
+    And the caller that began to read gets all 30 tokens of "a@1"
     And no adapter was evicted in use
 
   Scenario: a slot is needed while its request is being cancelled
--- a/packages/bench/src/test/right-adapter.feature
+++ b/packages/bench/src/test/right-adapter.feature
@@ -30,7 +30,7 @@
     And the operators put version "3" of "a" in force
     And 5 tokens of "a" are requested, streamed
     Then the answer is all 5 tokens of "a@3"
-    And the first caller gets all 40 tokens of "a@2"
+    And the caller that began to read gets all 40 tokens of "a@2"
 
   Scenario: an engine restarts without adapters
     Symptom: the first requests after a restart fail or run on the base model.
--- a/packages/bench/src/test/system.steps.ts
+++ b/packages/bench/src/test/system.steps.ts
@@ -59,7 +59,7 @@
   assert.equal(result.text, expectedText(model, tokens))
 })
 
-Then('the first caller gets all {int} tokens of {string}', async function (this: SystemWorld, tokens: number, model: string) {
+Then('the caller that began to read gets all {int} tokens of {string}', async function (this: SystemWorld, tokens: number, model: string) {
   const result = await this.pending.shift()!
   this.results.push(result)
   assert.equal(result.status, 200, `${result.status} ${result.code}`)
--- a/packages/bench/src/test/whole-answers.feature
+++ b/packages/bench/src/test/whole-answers.feature
@@ -43,8 +43,8 @@
     And the engine runs 2 requests
     And the channels are cut
     And the channels are cut again once they are reconnected
-    Then the first caller gets all 40 tokens of "a@1"
-    And the first caller gets all 40 tokens of "b@1"
+    Then the caller that began to read gets all 40 tokens of "a@1"
+    And the caller that began to read gets all 40 tokens of "b@1"
 
   Scenario: a caller that does not read
     Symptom: one slow caller stalls every other answer, or the entry runs out of memory.
@@ -62,5 +62,5 @@
     Cause: the engine is not notified.
     Given a system with 1 slow engine of 2 adapter slots and 4 batch slots
     When a caller disconnects in the middle of 200 tokens
-    Then the engine stops working on it
-    And its slot is no longer pinned
+    Then the engine stops running its request
+    And its adapter slot is no longer pinned
--- a/packages/bench/src/test/whole-answers.steps.ts
+++ b/packages/bench/src/test/whole-answers.steps.ts
@@ -59,10 +59,10 @@
   this.socket.destroy()
 })
 
-Then('the engine stops working on it', async function (this: SystemWorld) {
+Then('the engine stops running its request', async function (this: SystemWorld) {
   await waitUntil('the engine is idle', () => this.system.engines[0]!.running() === 0, 1_500)
 })
 
-Then('its slot is no longer pinned', async function (this: SystemWorld) {
+Then('its adapter slot is no longer pinned', async function (this: SystemWorld) {
   await waitUntil('no pins are left', () => this.system.sidecars.get('m0')!.status().report.adapters.every(({ pins }) => pins === 0))
 })
--- a/packages/stand-ins/src/lib/model-engine.ts
+++ b/packages/stand-ins/src/lib/model-engine.ts
@@ -62,7 +62,7 @@
   /** Requests with this prompt crash the engine as they begin to run; it restarts at once, without adapters. */
   crashPrompt: string | undefined
   /** Times of such crashes, by the monotonic clock of the test. */
-  readonly ends: number[]
+  readonly crashTimes: number[]
 }
 
 interface CompletionBody {
@@ -178,7 +178,7 @@
     const run: EngineRun = { prompt, model: body.model, cancelled: false }
     if (options.keepsRecord !== false) engine.runs.push(run)
     if (prompt === engine.crashPrompt) {
-      engine.ends.push(performance.now())
+      engine.crashTimes.push(performance.now())
       engine.restart()
       c.env.incoming.socket.destroy()
       return RESPONSE_ALREADY_SENT
@@ -262,7 +262,7 @@
     cancelled: 0,
     refusedOrders: 0,
     crashPrompt: undefined,
-    ends: [],
+    crashTimes: [],
     restart: () => {
       instance++
       loaded.clear()
