--- a/packages/bench/src/lib/guards/shared-guards.ts
+++ b/packages/bench/src/lib/guards/shared-guards.ts
@@ -6,7 +6,7 @@
 /** Guards of what entries without sidecars do together: usage limits, retry budgets, quarantine of requests. */
 export const sharedGuards: readonly Guard[] = [
   {
-    guarantee: 'quarantine: entries that have answered a request recently are asked before it is quarantined',
+    guarantee: 'quarantine: before a request is quarantined, entries that have answered it recently are asked',
     file: 'packages/direct/dist/lib/quarantine-coordinator.js',
     find: 'if (answers.flat().includes(request))',
     replace: 'if (false)',
--- a/packages/bench/src/lib/policy/hazelford-policy.ts
+++ b/packages/bench/src/lib/policy/hazelford-policy.ts
@@ -188,9 +188,9 @@
     names.map((name, i) => new UpstreamView(name, 'chat', `z${i % deployment.entries === entry ? entry : 'x'}`)))
 
   const reportTo = (i: number): void => {
-    const seen = engines[i]!.report()
+    const sidecarReport = engines[i]!.report()
     queue.after(linkMs, () => {
-      for (const entry of views) entry[i]!.update('serving', seen, queue.now)
+      for (const entry of views) entry[i]!.update('serving', sidecarReport, queue.now)
     })
   }
   const retry = (arrival: Arrival, code: string): void => {
@@ -202,11 +202,11 @@
   const engines = names.map((_, i) => new SidecarEngine(context, i, permits, retry, arrival => retry(arrival, 'upstream-lost'), () => reportTo(i)))
   const send = (arrival: Arrival): void => {
     const entry = Number(arrival.id.slice(1)) % deployment.entries
-    const seen = tried.get(arrival.id) ?? new Set<string>()
-    tried.set(arrival.id, seen)
-    const view = chooseUpstream({ adapter: arrival.adapter, zone: `z${entry}`, tried: seen }, views[entry]!, deployment.weights, queue.now, () => random.unit())
+    const triedNames = tried.get(arrival.id) ?? new Set<string>()
+    tried.set(arrival.id, triedNames)
+    const view = chooseUpstream({ adapter: arrival.adapter, zone: `z${entry}`, tried: triedNames }, views[entry]!, deployment.weights, queue.now, () => random.unit())
     if (view === undefined) return events.refused(arrival.id)
-    seen.add(view.name)
+    triedNames.add(view.name)
     view.sent(arrival.adapter)
     queue.after(linkMs, () => engines[names.indexOf(view.name)]!.arrive(arrival))
   }
--- a/packages/bench/src/lib/soak-checks.ts
+++ b/packages/bench/src/lib/soak-checks.ts
@@ -61,7 +61,7 @@
     ...record.completions.map(result => checkCompletion(result, tokens)),
     ...record.bookings.map(booking => checkBooking(booking, runsOf(booking.token))),
     ...[...record.completions, ...record.bookings.flatMap(booking => booking.attempts)].map(result => checkAnswered(result, record)),
-    ...fleet.engines.flatMap(engine => engine.evictedInUse.map(name => `${name}: evicted in use`)),
+    ...fleet.engines.flatMap(engine => engine.evictedInUse.map(name => `${name}: evicted while in use`)),
     ...record.revisionDrops
   ]
   return found.filter(problem => problem !== undefined)
--- a/packages/bench/src/test/eviction.feature
+++ b/packages/bench/src/test/eviction.feature
@@ -10,7 +10,7 @@
     And 5 tokens of "b@1" are requested, streamed
     Then the answer is all 5 tokens of "b@1"
     And the caller that began to read gets all 30 tokens of "a@1"
-    And no adapter was evicted in use
+    And no adapter was evicted while in use
 
   Scenario: a slot is needed while its request is being cancelled
     Symptom: the engine evicts an adapter in the middle of a decode step.
@@ -20,7 +20,7 @@
     And the engine takes 100 ms to notice a cancel
     When a caller requests 200 tokens of "a@1" whole and disconnects while 5 tokens of "b@1" are requested
     Then the answer is all 5 tokens of "b@1"
-    And no adapter was evicted in use
+    And no adapter was evicted while in use
 
   Scenario: an unload whose reply is lost
     Symptom: requests fail on an adapter that the sidecar reports as loaded, or the engine's slots run out.
@@ -33,7 +33,7 @@
     Then the answer is all 5 tokens of "b@1"
     When 5 tokens of "a@1" are requested, streamed
     Then the answer is all 5 tokens of "a@1"
-    And no adapter was evicted in use
+    And no adapter was evicted while in use
 
   Scenario: loads that fail
     Symptom: callers wait for an adapter that will not be loaded.
--- a/packages/bench/src/test/system.steps.ts
+++ b/packages/bench/src/test/system.steps.ts
@@ -77,6 +77,6 @@
   assert.equal(runs, times)
 })
 
-Then('no adapter was evicted in use', function (this: SystemWorld) {
+Then('no adapter was evicted while in use', function (this: SystemWorld) {
   assert.deepEqual(this.system.engines.flatMap(engine => engine.evictedInUse), [])
 })
