--- a/packages/bench/src/lib/policy/hazelford-policy.ts
+++ b/packages/bench/src/lib/policy/hazelford-policy.ts
@@ -45,7 +45,7 @@
     this._grant()
   }
 
-  giveBack (engine: number, took?: number, loaded = true): void {
+  returnPermit (engine: number, took?: number, loaded = true): void {
     if (took !== undefined) this._throttles.get(engine)?.ended(took, loaded)
     if (this._context.conditions.kvDown === true) return
     this._free++
@@ -73,7 +73,7 @@
   private readonly _arrivals = new Map<string, Arrival>()
   private readonly _loaded = new Set<string>()
   private _epoch = 0
-  private _reportDue = false
+  private _isReportScheduled = false
 
   constructor (
     private readonly _context: PolicyContext,
@@ -139,7 +139,7 @@
       case 'want-permit':
         this._permits.acquire(this._index, effect.rank, () => this._post({ kind: 'permit', at: queue.now }))
         return
-      case 'return-permit': return this._permits.giveBack(this._index)
+      case 'return-permit': return this._permits.returnPermit(this._index)
       case 'load': return this._load(effect.adapter)
       case 'unload':
         this._loaded.delete(effect.adapter)
@@ -160,17 +160,17 @@
     const epoch = this._epoch
     store.load(() => {
       const loaded = epoch === this._epoch && random.unit() >= (conditions.failShare ?? 0)
-      this._permits.giveBack(this._index, queue.now - from, loaded)
+      this._permits.returnPermit(this._index, queue.now - from, loaded)
       if (loaded) {
         this._loaded.add(adapter)
         events.loaded(adapter)
         for (const arrival of this._arrivals.values()) if (arrival.adapter === adapter) events.ready(arrival.id)
       }
       this._post({ kind: 'load-ended', at: queue.now, adapter, loaded, took: queue.now - from })
-      if (this._reportDue) return
-      this._reportDue = true
+      if (this._isReportScheduled) return
+      this._isReportScheduled = true
       queue.after(minGapMs, () => {
-        this._reportDue = false
+        this._isReportScheduled = false
         this._reportSoon()
       })
     })
@@ -188,9 +188,9 @@
     names.map((name, i) => new UpstreamView(name, 'chat', `z${i % deployment.entries === entry ? entry : 'x'}`)))
 
   const reportTo = (i: number): void => {
-    const seen = engines[i]!.report()
+    const sidecarReport = engines[i]!.report()
     queue.after(linkMs, () => {
-      for (const entry of views) entry[i]!.update('serving', seen, queue.now)
+      for (const entry of views) entry[i]!.update('serving', sidecarReport, queue.now)
     })
   }
   const retry = (arrival: Arrival, code: string): void => {
@@ -202,11 +202,11 @@
   const engines = names.map((_, i) => new SidecarEngine(context, i, permits, retry, arrival => retry(arrival, 'upstream-lost'), () => reportTo(i)))
   const send = (arrival: Arrival): void => {
     const entry = Number(arrival.id.slice(1)) % deployment.entries
-    const seen = tried.get(arrival.id) ?? new Set<string>()
-    tried.set(arrival.id, seen)
-    const view = chooseUpstream({ adapter: arrival.adapter, zone: `z${entry}`, tried: seen }, views[entry]!, deployment.weights, queue.now, () => random.unit())
+    const triedNames = tried.get(arrival.id) ?? new Set<string>()
+    tried.set(arrival.id, triedNames)
+    const view = chooseUpstream({ adapter: arrival.adapter, zone: `z${entry}`, tried: triedNames }, views[entry]!, deployment.weights, queue.now, () => random.unit())
     if (view === undefined) return events.refused(arrival.id)
-    seen.add(view.name)
+    triedNames.add(view.name)
     view.sent(arrival.adapter)
     queue.after(linkMs, () => engines[names.indexOf(view.name)]!.arrive(arrival))
   }
