--- a/packages/bench/src/lib/policy/hazelford-policy.ts
+++ b/packages/bench/src/lib/policy/hazelford-policy.ts
@@ -32,7 +32,7 @@
       this._waitingForShare.add(engine)
       const throttle = this._throttle(engine, 1_000 * deployment.engines / deployment.loadsPerSecond)
       queue.after(throttle.delay(queue.now), () => {
-        throttle.started(queue.now)
+        throttle.recordStart(queue.now)
         this._waitingForShare.delete(engine)
         onGrant()
       })
@@ -46,7 +46,7 @@
   }
 
   returnPermit (engine: number, took?: number, loaded = true): void {
-    if (took !== undefined) this._throttles.get(engine)?.ended(took, loaded)
+    if (took !== undefined) this._throttles.get(engine)?.recordEnd(took, loaded)
     if (this._context.conditions.kvDown === true) return
     this._free++
     this._grant()
@@ -207,7 +207,7 @@
     const view = chooseUpstream({ adapter: arrival.adapter, zone: `z${entry}`, tried: triedNames }, views[entry]!, deployment.weights, queue.now, () => random.unit())
     if (view === undefined) return events.refused(arrival.id)
     triedNames.add(view.name)
-    view.sent(arrival.adapter)
+    view.recordSent(arrival.adapter)
     queue.after(linkMs, () => engines[names.indexOf(view.name)]!.arrive(arrival))
   }
   const reportPeriodically = (): void => {
--- a/packages/bench/src/test/leaving.steps.ts
+++ b/packages/bench/src/test/leaving.steps.ts
@@ -73,7 +73,7 @@
 When('requests are sent while the host list shows "m0" leaving', async function (this: TrafficWorld) {
   await sendDuring(this, everyEntry(this), async () => {
     this.system.hostList.put({ name: 'sidecar-m0', role: 'sidecar', zone: 'z1', port: this.system.sidecarPort('m0'), operatorPort: 0, leaving: true })
-    await waitUntil('entries see that it leaves', () => this.system.entries.every(({ entry }) => entry.directory.view('m0')!.barred))
+    await waitUntil('entries see that it leaves', () => this.system.entries.every(({ entry }) => entry.directory.view('m0')!.excluded))
     await waitUntil('m0 is idle', () => this.system.sidecars.get('m0')!.openRequests === 0)
     recordRuns(this)
   })
--- a/packages/cli/src/lib/queries/merged-timeline.ts
+++ b/packages/cli/src/lib/queries/merged-timeline.ts
@@ -4,11 +4,11 @@
 import type { TimelineEvent } from '@hazelford/core'
 
 /** An event with the name of its process. */
-export interface PlacedEvent extends TimelineEvent { readonly process: string }
+export interface ProcessEvent extends TimelineEvent { readonly process: string }
 
 /** Merged events, and the processes whose events are missing or incomplete. */
 export interface MergedTimeline {
-  readonly events: readonly PlacedEvent[]
+  readonly events: readonly ProcessEvent[]
   readonly unreachable: readonly string[]
   /** Processes whose ring buffers have dropped events. */
   readonly overflowed: readonly string[]
--- a/packages/cli/src/lib/queries/timeline.ts
+++ b/packages/cli/src/lib/queries/timeline.ts
@@ -6,7 +6,7 @@
 import { exitCodes, type Report, report } from '../exit-code.js'
 import { queryProcesses, listHosts, type ProcessTimeline } from '../processes.js'
 import { formatTable } from '../table.js'
-import type { MergedTimeline, PlacedEvent } from './merged-timeline.js'
+import type { MergedTimeline, ProcessEvent } from './merged-timeline.js'
 import { timelinePage } from './timeline-page.js'
 
 /** Selects the events to show. */
@@ -21,7 +21,7 @@
   readonly html?: boolean
 }
 
-function passes (event: PlacedEvent, filter: TimelineFilter, from: number): boolean {
+function passes (event: ProcessEvent, filter: TimelineFilter, from: number): boolean {
   return event.stamp.wall >= from &&
     (filter.request === undefined || event.request === filter.request) &&
     (filter.adapter === undefined || event.adapter === filter.adapter) &&
@@ -46,7 +46,7 @@
   }
 }
 
-function eventRow (event: PlacedEvent): readonly string[] {
+function eventRow (event: ProcessEvent): readonly string[] {
   const time = new Date(event.stamp.wall).toISOString().slice(11, 23)
   const about = [event.request, event.adapter, event.upstream, event.peer].filter(part => part !== undefined).join(' ')
   return [`${time}.${event.stamp.count}`, event.process, event.kind, about, event.note ?? '']
--- a/packages/config/src/lib/config-state.ts
+++ b/packages/config/src/lib/config-state.ts
@@ -2,7 +2,7 @@
  * The configuration in force in a process.
  */
 import type { ConfigDocument, EventRing, Log } from '@hazelford/core'
-import { RevisionHolder } from '@hazelford/decisions'
+import { LatestRevision } from '@hazelford/decisions'
 import { type Config, parseConfig } from './config.js'
 import { textDigest } from './document.js'
 
@@ -11,7 +11,7 @@
 
 /** Receives configuration documents from any source and puts the newest in force. */
 export class ConfigState {
-  private readonly _holder = new RevisionHolder()
+  private readonly _holder = new LatestRevision()
   private readonly _listeners: ConfigListener[] = []
   private _config: Config | undefined
 
--- a/packages/decisions/src/lib/adapter-plan.ts
+++ b/packages/decisions/src/lib/adapter-plan.ts
@@ -167,7 +167,7 @@
    * @param now - time
    */
   recordUse (entry: string, keys: Iterable<string>, now: Ms): void {
-    this._uses.note(entry, keys, now)
+    this._uses.recordReport(entry, keys, now)
   }
 
   /** Records a request that is about to use an adapter, until its entry's next report. */
--- a/packages/decisions/src/lib/adapter-uses.ts
+++ b/packages/decisions/src/lib/adapter-uses.ts
@@ -11,7 +11,7 @@
   private readonly _reports = new Map<string, { readonly keys: ReadonlySet<string>, readonly at: Ms }>()
 
   /** Records an entry's report, which replaces its previous one. */
-  note (entry: string, keys: Iterable<string>, now: Ms): void { this._reports.set(entry, { keys: new Set(keys), at: now }) }
+  recordReport (entry: string, keys: Iterable<string>, now: Ms): void { this._reports.set(entry, { keys: new Set(keys), at: now }) }
 
   /** Records a request that is about to use an adapter, until its entry's next report. */
   add (entry: string, key: string, now: Ms): void {
--- a/packages/decisions/src/lib/batch-slots.ts
+++ b/packages/decisions/src/lib/batch-slots.ts
@@ -27,7 +27,7 @@
   constructor (private readonly _slots: number) {}
 
   /** Records an entry's number of open requests, which replaces its previous report. */
-  note (entry: string, requests: number, now: Ms): void { this._reports.set(entry, { requests, at: now }) }
+  recordReport (entry: string, requests: number, now: Ms): void { this._reports.set(entry, { requests, at: now }) }
 
   /** Counts an admitted request, until its entry's next report. */
   admit (entry: string, now: Ms): void {
--- a/packages/decisions/src/lib/engine-assignment.ts
+++ b/packages/decisions/src/lib/engine-assignment.ts
@@ -92,7 +92,7 @@
   constructor (private readonly _holderTurn: Ms) {}
 
   /** Records that this entry has released an engine. */
-  left (engine: string, now: Ms): void { this._releasedAt.set(engine, now) }
+  recordRelease (engine: string, now: Ms): void { this._releasedAt.set(engine, now) }
 
   /** Whether this entry may claim an engine of which another entry may have been the holder since. */
   mayReclaim (engine: string, now: Ms): boolean {
--- a/packages/decisions/src/lib/revision-holder.ts
+++ b/packages/decisions/src/lib/latest-revision.ts
@@ -10,7 +10,7 @@
  * can offer an outdated document. Applying any of these would reinstate a configuration that an operator has replaced,
  * and the status page would show a revision that decreases.
  */
-export class RevisionHolder {
+export class LatestRevision {
   private _current: ConfigDocument | undefined
 
   /** The document in force in this process. */
--- a/packages/decisions/src/lib/load-throttle.ts
+++ b/packages/decisions/src/lib/load-throttle.ts
@@ -35,7 +35,7 @@
   delay (now: Ms): Ms { return Math.max(0, this._lastStart + this._interval - now) }
 
   /** Records the start of a load. */
-  started (now: Ms): void { this._lastStart = now }
+  recordStart (now: Ms): void { this._lastStart = now }
 
   /**
    * Records the end of a load.
@@ -43,7 +43,7 @@
    * @param took - ms
    * @param loaded - false when the store refused the load or it failed
    */
-  ended (took: Ms, loaded: boolean): void {
+  recordEnd (took: Ms, loaded: boolean): void {
     if (loaded) this._fastestLoad = Math.min(this._fastestLoad * fastestLoadDrift, took)
     const contended = !loaded || took > this._fastestLoad * contendedFactor
     this._interval = contended
--- a/packages/decisions/src/lib/relay-flow.ts
+++ b/packages/decisions/src/lib/relay-flow.ts
@@ -76,7 +76,7 @@
 /** Functions that the entry provides to the decisions. */
 export interface RelayDeps {
   /** Takes a retry from the service's budget; false when it is spent. */
-  readonly takeRepeat: () => boolean
+  readonly takeRetry: () => boolean
   /** Whether the caller may still send the request. */
   readonly isAllowed: () => boolean
   /** Whether the request is quarantined, because upstreams terminate while running it. */
@@ -162,7 +162,7 @@
 /** Moves the request from a silent upstream to one that can take it now. */
 function moveTo (upstream: string, progress: Progress, deps: RelayDeps): Transition {
   progress.stalled = false
-  if (!deps.takeRepeat()) return continueWith([])
+  if (!deps.takeRetry()) return continueWith([])
   progress.mayHaveRun = true
   progress.tried.add(upstream)
   progress.sends++
@@ -182,7 +182,7 @@
   if (progress.sends === 0 && !deps.isAllowed()) return endWith(giveUp(progress, 'key-withdrawn'))
   if (progress.sends > 0) {
     if (!progress.tried.has(upstream) && progress.tried.size >= request.maxAttempts) return endWith(giveUp(progress, 'attempts-spent'))
-    if (!deps.takeRepeat()) return endWith(giveUp(progress, 'budget-spent'))
+    if (!deps.takeRetry()) return endWith(giveUp(progress, 'budget-spent'))
   }
   progress.tried.add(upstream)
   progress.sends++
--- a/packages/decisions/src/lib/request-quarantine.ts
+++ b/packages/decisions/src/lib/request-quarantine.ts
@@ -125,7 +125,7 @@
    *
    * @returns whether it is quarantined now and was not before
    */
-  hold (request: string, now: Ms): boolean {
+  quarantine (request: string, now: Ms): boolean {
     if (this._isQuarantined(request, now) || this.wasAnsweredRecently(request, now)) return false
     this._quarantinedUntil.delete(request)
     this._quarantinedUntil.set(request, now + this._limits.holdTime)
@@ -139,10 +139,10 @@
    * A repeated request does not prolong its quarantine. Otherwise a harmless request that many callers send,
    * quarantined by chance, would be refused for ever.
    */
-  holds (request: string, now: Ms): boolean { return this._isQuarantined(request, now) }
+  isQuarantined (request: string, now: Ms): boolean { return this._isQuarantined(request, now) }
 
   /** Quarantined requests with the end of their quarantine. */
-  held (now: Ms): ReadonlyMap<string, Ms> {
+  quarantinedRequests (now: Ms): ReadonlyMap<string, Ms> {
     return new Map([...this._quarantinedUntil].filter(([, until]) => until > now))
   }
 
--- a/packages/decisions/src/lib/shared-retry-budget.ts
+++ b/packages/decisions/src/lib/shared-retry-budget.ts
@@ -51,7 +51,7 @@
   /** Changes the limit; retries that were taken stay counted. */
   limit (limits: SharedBudgetLimits): void { this._limits = limits }
 
-  request (now: Ms): void { this._requests.add(now) }
+  recordRequest (now: Ms): void { this._requests.add(now) }
 
   /**
    * Takes one retry from the budget.
@@ -60,7 +60,7 @@
    * @param entries - entries that share the slack, at least 1
    * @returns false when the budget is spent
    */
-  takeRepeat (now: Ms, entries: number): boolean {
+  takeRetry (now: Ms, entries: number): boolean {
     const { ratio, slack, window } = this._limits
     const allowed = usedShare * (ratio * this._requests.count(now, window) + slack / Math.max(1, entries))
     if (this._retries.count(now, window) + 1 > allowed) return false
--- a/packages/decisions/src/lib/upstream-health.ts
+++ b/packages/decisions/src/lib/upstream-health.ts
@@ -53,7 +53,7 @@
    * @param latency - ms to the first byte, for an answer
    * @returns whether the upstream was ejected for it
    */
-  note (outcome: ExchangeOutcome, now: Ms, latency?: Ms): boolean {
+  recordOutcome (outcome: ExchangeOutcome, now: Ms, latency?: Ms): boolean {
     if (latency !== undefined) this._latency.add(latency)
     const failed = outcome !== 'answered' && outcome !== 'refused'
     this._samples++
--- a/packages/decisions/src/lib/upstream-notices.ts
+++ b/packages/decisions/src/lib/upstream-notices.ts
@@ -43,7 +43,7 @@
    * @param now - time
    * @returns what it changes
    */
-  note ({ rateLimit, leaving, backoff: backoffTime }: UpstreamNotice, sentAt: Ms, now: Ms): readonly NoticeChange[] {
+  applyNotice ({ rateLimit, leaving, backoff: backoffTime }: UpstreamNotice, sentAt: Ms, now: Ms): readonly NoticeChange[] {
     const changes: NoticeChange[] = []
     // An answer without a limit may have been sent before the upstream reported its limit. So the absence of a limit is
     // known only as of the time at which the request was sent.
--- a/packages/decisions/src/lib/upstream-view.ts
+++ b/packages/decisions/src/lib/upstream-view.ts
@@ -27,7 +27,7 @@
   private _state: UpstreamState = 'suspect'
   private _suspectSince: Ms = -Infinity
   /** Set from the configuration or the host list; overrides the state that the sidecar reports. */
-  barred = false
+  excluded = false
   private _report: PlanReport = emptyReport
   private _adapters = new Map<AdapterKey, 'loading' | 'loaded'>()
   private _reported = new Map<AdapterKey, 'loading' | 'loaded'>()
@@ -70,20 +70,20 @@
 
   /** Whether it became silent so recently that a reconnect is likely. */
   mayComeBack (now: Ms): boolean {
-    return this._state === 'suspect' && !this.barred && now - this._suspectSince < reconnectWindowMs
+    return this._state === 'suspect' && !this.excluded && now - this._suspectSince < reconnectWindowMs
   }
 
   /**
    * Records that this entry has sent a request. Reports are late: an entry that ignored its own requests until the next
    * report would send everything to the same upstream.
    */
-  sent (adapter: AdapterKey | undefined): void {
+  recordSent (adapter: AdapterKey | undefined): void {
     this._sentSince++
     if (adapter !== undefined && !this._adapters.has(adapter)) this._adapters.set(adapter, 'loading')
   }
 
   /** Records the end of a request; five upstream failures in a row eject the upstream for a while. */
-  ended (failed: boolean, now: Ms): void {
+  recordEnd (failed: boolean, now: Ms): void {
     this._failuresInRow = failed ? this._failuresInRow + 1 : 0
     if (this._failuresInRow < ejectAfterFailures) return
     this._ejectedUntil = now + ejectMs
@@ -92,7 +92,7 @@
 
   /** Whether the upstream may get new requests. */
   accepts (now: Ms): boolean {
-    return this._state === 'serving' && !this.barred && now >= this._ejectedUntil
+    return this._state === 'serving' && !this.excluded && now >= this._ejectedUntil
   }
 
   adapterState (adapter: AdapterKey): 'loading' | 'loaded' | 'absent' {
--- a/packages/decisions/src/lib/view-age.ts
+++ b/packages/decisions/src/lib/view-age.ts
@@ -26,7 +26,7 @@
    * @param age - ms by which the view of the process that answered was behind
    * @param at - now
    */
-  answered (asked: Instant, age: Ms, at: Instant): void {
+  recordAnswer (asked: Instant, age: Ms, at: Instant): void {
     const confirmation = { age, asked }
     // If this process was suspended after the question, it can't tell how long ago the question was sent.
     if (ageOf(confirmation, at) < this.at(at)) this._latest = confirmation
--- a/packages/decisions/src/test/direct-decisions.steps.ts
+++ b/packages/decisions/src/test/direct-decisions.steps.ts
@@ -48,9 +48,9 @@
     for (const { gap, entry, repeats: wanted } of list) {
       now += gap
       const within = (times: readonly number[]): number => times.filter(at => at > now - window).length
-      budgets[entry]!.request(now)
+      budgets[entry]!.recordRequest(now)
       requests.push(now)
-      for (let n = 0; n < wanted; n++) if (budgets[entry]!.takeRepeat(now, entries)) repeats.push(now)
+      for (let n = 0; n < wanted; n++) if (budgets[entry]!.takeRetry(now, entries)) repeats.push(now)
       assert.ok(within(repeats) <= ratio * within(requests) + slack, `${within(repeats)} retries of ${within(requests)} requests`)
     }
   }), { ...propertyOptions, numRuns: 60 })
@@ -58,20 +58,20 @@
 
 Then('two lost answers in a row eject an upstream, and it is readmitted', () => {
   const health = new UpstreamHealth()
-  assert.equal(health.note('lost', 0), false)
-  assert.equal(health.note('lost', 10), true)
+  assert.equal(health.recordOutcome('lost', 0), false)
+  assert.equal(health.recordOutcome('lost', 10), true)
   assert.equal(health.accepts(20), false)
   assert.equal(health.accepts(1_000), true)
 })
 
 Then('one error in seven answers ejects no upstream', () => {
   const health = new UpstreamHealth()
-  for (let n = 1; n <= 700; n++) assert.equal(health.note(n % 7 === 0 ? 'error' : 'answered', n * 10, 5), false)
+  for (let n = 1; n <= 700; n++) assert.equal(health.recordOutcome(n % 7 === 0 ? 'error' : 'answered', n * 10, 5), false)
 })
 
 Then('an upstream that fails half of its requests is ejected', () => {
   const health = new UpstreamHealth()
-  const ejections = Array.from({ length: 40 }, (_, n) => health.note(n % 2 === 0 ? 'error' : 'answered', n * 10, 5))
+  const ejections = Array.from({ length: 40 }, (_, n) => health.recordOutcome(n % 2 === 0 ? 'error' : 'answered', n * 10, 5))
   assert.ok(ejections.includes(true))
 })
 
--- a/packages/decisions/src/test/engine-assignment.steps.ts
+++ b/packages/decisions/src/test/engine-assignment.steps.ts
@@ -148,7 +148,7 @@
   private _release (engine: string, entry: string): void {
     this._assignment.holders.delete(engine)
     this._lastHolder.set(engine, entry)
-    this._cooldowns.get(entry)!.left(engine, this._now)
+    this._cooldowns.get(entry)!.recordRelease(engine, this._now)
     this._freeSince.set(engine, this._now)
   }
 
--- a/packages/decisions/src/test/relay-flow.steps.ts
+++ b/packages/decisions/src/test/relay-flow.steps.ts
@@ -112,7 +112,7 @@
 
 function observe ({ request, messages: list }: Input): Observer {
   const observer = new Observer(request)
-  const flow = relayFlow(request, { takeRepeat: () => true, isAllowed: () => true, isQuarantined: () => false })
+  const flow = relayFlow(request, { takeRetry: () => true, isAllowed: () => true, isQuarantined: () => false })
   let step = flow.next()
   for (const effect of step.value ?? []) observer.onEffect(effect)
   for (const msg of list) {
@@ -152,7 +152,7 @@
 function start (world: FlowWorld, request: RelayRequest): void {
   world.repeats = 0
   world.flow = relayFlow(request, {
-    takeRepeat: () => {
+    takeRetry: () => {
       world.repeats++
       return true
     },
@@ -216,7 +216,7 @@
 })
 
 Given('a direct stock check that is quarantined', function (this: FlowWorld) {
-  this.flow = relayFlow({ kind: 'read-only', resumable: false, maxAttempts: 2 }, { takeRepeat: () => true, isAllowed: () => true, isQuarantined: () => true })
+  this.flow = relayFlow({ kind: 'read-only', resumable: false, maxAttempts: 2 }, { takeRetry: () => true, isAllowed: () => true, isQuarantined: () => true })
   this.effects = this.flow.next().value ?? []
 })
 
@@ -270,7 +270,7 @@
 })
 
 Given('a direct stock check whose key is withdrawn before it is placed', function (this: FlowWorld) {
-  this.flow = relayFlow({ kind: 'read-only', resumable: false, maxAttempts: 2 }, { takeRepeat: () => true, isAllowed: () => false, isQuarantined: () => false })
+  this.flow = relayFlow({ kind: 'read-only', resumable: false, maxAttempts: 2 }, { takeRetry: () => true, isAllowed: () => false, isQuarantined: () => false })
   this.flow.next()
   send(this, { kind: 'placed', upstream: 'u1' })
 })
--- a/packages/decisions/src/test/request-quarantine.steps.ts
+++ b/packages/decisions/src/test/request-quarantine.steps.ts
@@ -16,7 +16,7 @@
 
 /** Records a termination, and quarantines the request as soon as that is due. */
 function recordTermination (quarantine: RequestQuarantine, request: string, upstream: string, at: Ms, now: Ms): void {
-  if (quarantine.recordTermination(request, { upstream, at }, now)) quarantine.hold(request, now)
+  if (quarantine.recordTermination(request, { upstream, at }, now)) quarantine.quarantine(request, now)
 }
 
 type Step =
@@ -74,7 +74,7 @@
       } else if (step.kind === 'answered') {
         quarantine.recordAnswered(step.request, now)
         naive.answered(step.request, now)
-      } else assert.equal(quarantine.holds(step.request, now), naive.holds(step.request, now))
+      } else assert.equal(quarantine.isQuarantined(step.request, now), naive.holds(step.request, now))
     }
   }), { ...propertyOptions, numRuns: 2_000 })
 })
@@ -106,7 +106,7 @@
 When('it is repeated every second for {int} s', function (this: QuarantineWorld, seconds: number) {
   this.refused = Array.from({ length: seconds }, () => {
     this.now += 1_000
-    return this.quarantine.holds(repeatedRequest, this.now)
+    return this.quarantine.isQuarantined(repeatedRequest, this.now)
   })
 })
 
@@ -122,15 +122,15 @@
 When('a request is answered, and {int} ms later another entry reports it as quarantined', function (this: QuarantineWorld, later: number) {
   this.quarantine.recordAnswered(repeatedRequest, this.now)
   this.now += later
-  this.quarantine.hold(repeatedRequest, this.now)
+  this.quarantine.quarantine(repeatedRequest, this.now)
 })
 
 Then('the request is quarantined, and others are not', function (this: QuarantineWorld) {
-  assert.ok(this.quarantine.holds(repeatedRequest, this.now))
-  assert.ok(!this.quarantine.holds(otherRequest, this.now))
+  assert.ok(this.quarantine.isQuarantined(repeatedRequest, this.now))
+  assert.ok(!this.quarantine.isQuarantined(otherRequest, this.now))
 })
 
-Then('the request is not quarantined', function (this: QuarantineWorld) { assert.ok(!this.quarantine.holds(repeatedRequest, this.now)) })
+Then('the request is not quarantined', function (this: QuarantineWorld) { assert.ok(!this.quarantine.isQuarantined(repeatedRequest, this.now)) })
 
 When('{int} streams of {int} s each run at {int} engines for {int} s, for {int} seeds, and one of them terminates each engine that runs it', function (this: QuarantineWorld, streams: number, streamSeconds: number, engines: number, seconds: number, seeds: number) {
   this.simulations = Array.from({ length: seeds }, (_, seed) => simulateTerminations({ streams, lasts: streamSeconds * 1_000, engines, length: seconds * 1_000, seed: seed + 1 }))
--- a/packages/decisions/src/test/small-decisions.steps.ts
+++ b/packages/decisions/src/test/small-decisions.steps.ts
@@ -10,7 +10,7 @@
 import { rendezvousOrder } from '../lib/rendezvous.js'
 import { RequestLedger } from '../lib/request-ledger.js'
 import { RetryBudget } from '../lib/retry-budget.js'
-import { RevisionHolder } from '../lib/revision-holder.js'
+import { LatestRevision } from '../lib/latest-revision.js'
 import { UpstreamView } from '../lib/upstream-view.js'
 import { propertyOptions } from './support/property-options.js'
 
@@ -34,7 +34,7 @@
 
 Then('for any order of documents the revision in force is the highest offered so far', () => {
   fc.assert(fc.property(fc.array(fc.integer({ min: 1, max: 50 })), revisions => {
-    const holder = new RevisionHolder()
+    const holder = new LatestRevision()
     let highest = 0
     for (const revision of revisions) {
       holder.offer({ revision, writeId: '', author: '', at: 0, sha256: '', text: '' } satisfies ConfigDocument)
@@ -87,7 +87,7 @@
   const counts = new Map<string, number>()
   for (let i = 0; i < 100; i++) {
     const chosen = chooseUpstream({ adapter: 'x@1', zone: 'z', tried: new Set() }, views, weights, 0, () => (i * 0.37) % 1)!
-    chosen.sent('x@1')
+    chosen.recordSent('x@1')
     counts.set(chosen.name, (counts.get(chosen.name) ?? 0) + 1)
   }
   for (const { name } of views) assert.ok((counts.get(name) ?? 0) >= 15, `${name} got ${counts.get(name) ?? 0}`)
--- a/packages/decisions/src/test/support/termination-simulation.ts
+++ b/packages/decisions/src/test/support/termination-simulation.ts
@@ -63,7 +63,7 @@
 
   /** The caller sends the request that terminates engines. */
   sendTerminatingRequest (now: Ms): void {
-    for (let attempt = 0; attempt < attempts && !this._quarantine.holds(terminatingRequest, now); attempt++) {
+    for (let attempt = 0; attempt < attempts && !this._quarantine.isQuarantined(terminatingRequest, now); attempt++) {
       const up = [...this._backAt.keys()].filter(engine => this._backAt[engine]! <= now)
       if (up.length > 0) this._terminate(up[this._pick(up.length)]!, now)
     }
@@ -82,7 +82,7 @@
   }
 
   private _recordTermination (request: string, engine: number, now: Ms): void {
-    if (this._quarantine.recordTermination(request, { upstream: `u${engine}`, at: now }, now) && this._quarantine.hold(request, now)) this.held.add(request)
+    if (this._quarantine.recordTermination(request, { upstream: `u${engine}`, at: now }, now) && this._quarantine.quarantine(request, now)) this.held.add(request)
   }
 
   private _startStream (now: Ms): Stream {
--- a/packages/decisions/src/test/upstream-notices.steps.ts
+++ b/packages/decisions/src/test/upstream-notices.steps.ts
@@ -37,7 +37,7 @@
     let now = 0
     for (const answer of given) {
       now += answer.gap
-      notices.note(answer, now - answer.took, now)
+      notices.applyNotice(answer, now - answer.took, now)
       read.push({ ...answer, at: now })
       assert.equal(notices.limit.rate, naiveLimit(read))
       assert.equal(notices.leaving, read.some(({ leaving }) => leaving))
--- a/packages/decisions/src/test/view-age.steps.ts
+++ b/packages/decisions/src/test/view-age.steps.ts
@@ -74,7 +74,7 @@
     asker.suspend(Math.min(back, suspended))
     asker.setClock(set)
     asker.revision = Math.max(asker.revision, answer.revision)
-    asker.viewAge.answered(asked, answer.age, asker.at(time))
+    asker.viewAge.recordAnswer(asked, answer.age, asker.at(time))
     for (const each of all) {
       const age = each.age(time)
       if (Number.isFinite(age)) assert.ok(each.revision >= revisionAt(time - age), `revision ${each.revision} at ${time}, reported age ${age} ms`)
@@ -90,7 +90,7 @@
 
 Given('a view whose age was confirmed a moment ago', function (this: ViewWorld) {
   this.process = new SimulatedProcess(0)
-  this.process.viewAge.answered(this.process.at(100), 20, this.process.at(110))
+  this.process.viewAge.recordAnswer(this.process.at(100), 20, this.process.at(110))
   this.time = 110
   assert.equal(this.process.age(this.time), 30)
 })
@@ -103,6 +103,6 @@
 Then('the age of the view is unknown until a new question is answered', function (this: ViewWorld) {
   const { process } = this
   assert.equal(process.age(this.time), Infinity)
-  process.viewAge.answered(process.at(this.time), 0, process.at(this.time + 4))
+  process.viewAge.recordAnswer(process.at(this.time), 0, process.at(this.time + 4))
   assert.equal(process.age(this.time + 4), 4)
 })
--- a/packages/direct/src/lib/adapter-directory.ts
+++ b/packages/direct/src/lib/adapter-directory.ts
@@ -106,7 +106,7 @@
   }
 
   /** Removes a reservation that the upstream did not keep. */
-  broken (upstream: string, want: RequestedAdapter): void { this._reservations.get(upstream)?.delete(requestedAdapterKey(want)) }
+  removeReservation (upstream: string, want: RequestedAdapter): void { this._reservations.get(upstream)?.delete(requestedAdapterKey(want)) }
 
   forget (upstream: string): void {
     this._reservations.delete(upstream)
--- a/packages/direct/src/lib/direct-entry.ts
+++ b/packages/direct/src/lib/direct-entry.ts
@@ -119,7 +119,7 @@
       client: this._client,
       entries: () => this.peers.entries,
       probe: ({ record }) => probeConnection(record.host, record.port, probeTimeout),
-      held: fingerprint => this._endQuarantined(fingerprint)
+      quarantined: fingerprint => this._endQuarantined(fingerprint)
     })
     this._usage = this._createUsageCoordinator()
     this._notices = new NoticeCoordinator({
@@ -141,16 +141,16 @@
       log,
       client: this._client,
       applyWithin: () => this._settings.apply_within_ms,
-      heldRequests: () => this._quarantine.held
+      heldRequests: () => this._quarantine.quarantinedRequests
     }, {
       configured: table => this._configured(table),
       declared: version => this.engineCoordinator.prefetch(version),
       connections: service => this._connections(service),
       requestEnded: upstream => this._requestEnded(upstream),
       gone: upstream => this._upstreamGone(upstream),
-      quarantinedInStore: key => this._quarantine.stored(key),
+      quarantinedInStore: key => this._quarantine.receiveStoredKey(key),
       quarantinedByPeer: requests => this._quarantine.receiveQuarantined({ requests }),
-      restarted: upstream => this.engineCoordinator.restarted(upstream),
+      restarted: upstream => this.engineCoordinator.handleRestart(upstream),
       changed: () => this.engineCoordinator.scheduleReconcile()
     })
     this.engineCoordinator = new EngineCoordinator({
@@ -337,7 +337,7 @@
       configAge: () => this._view.configAge,
       reportUsage: msg => this._usage.report(msg),
       reportLimits: msg => this._notices.report(msg),
-      receiveNotices: msg => this._notices.heard(msg)
+      receiveNotices: msg => this._notices.applyNotices(msg)
     }
   }
 
@@ -365,7 +365,7 @@
   /** Ends this entry's open requests with a fingerprint that was just quarantined. */
   private _endQuarantined (fingerprint: string): void {
     this._options.metrics.heldRequests.inc()
-    this._runner.hold(fingerprint)
+    this._runner.endQuarantined(fingerprint)
   }
 
   private async _handlePeerLoadRequest ({ upstream, loads, ...request }: LoadRequestMessage): Promise<PeerLoadRequestOutcome> {
--- a/packages/direct/src/lib/engine-admission.ts
+++ b/packages/direct/src/lib/engine-admission.ts
@@ -59,8 +59,8 @@
   get slotWait (): Ms { return this._slots.expectedWait(this._throttle.waiting, this._serviceTime(), this._clock.now()) }
 
   /** Applies an entry's report on the number of its open requests at this engine. */
-  note (entry: string, requests: number): void {
-    this._slots.note(entry, requests, this._clock.now())
+  recordOpenRequests (entry: string, requests: number): void {
+    this._slots.recordReport(entry, requests, this._clock.now())
     this._admitDue()
   }
 
--- a/packages/direct/src/lib/engine-coordinator.ts
+++ b/packages/direct/src/lib/engine-coordinator.ts
@@ -113,7 +113,7 @@
    * Notifies the holder of an engine that has restarted under its id: it has no adapters loaded and counts orders from
    * 0 again.
    */
-  restarted (upstream: Upstream): void {
+  handleRestart (upstream: Upstream): void {
     this._holders.get(upstream.id)?.restart(upstream.record.startedAt, this._options.control(upstream))
   }
 
@@ -297,7 +297,7 @@
   private _removeHolder (upstream: string, holder: EngineHolder): void {
     holder.release()
     this._holders.delete(upstream)
-    this._reclaimCooldown.left(upstream, this._options.clock.now())
+    this._reclaimCooldown.recordRelease(upstream, this._options.clock.now())
   }
 
   private _startHolding (upstream: Upstream, fence: number): void {
--- a/packages/direct/src/lib/engine-holder.ts
+++ b/packages/direct/src/lib/engine-holder.ts
@@ -157,7 +157,7 @@
     const { clock } = this._options
     const { want, entry, prompt } = request
     if (this._liveness.silent) return { kind: 'unavailable', cause: 'the engine does not answer' }
-    this._admission.note(entry, request.outstanding)
+    this._admission.recordOpenRequests(entry, request.outstanding)
     this._admission.recordStreams(request.streams, request.paused)
     const startedAt = clock.now()
     const outcome = await this._awaitAdapter(request)
@@ -200,7 +200,7 @@
   /** Applies an entry's report on the adapters that it uses and on its open requests. */
   recordUse (entry: string, uses: readonly string[], outstanding: number | undefined): void {
     this._plan.recordUse(entry, uses, this._options.clock.now())
-    if (outstanding !== undefined) this._admission.note(entry, outstanding)
+    if (outstanding !== undefined) this._admission.recordOpenRequests(entry, outstanding)
     this._runPlan()
   }
 
@@ -338,7 +338,7 @@
       await sleep(clock, retryPause)
       return
     }
-    this._liveness.heard()
+    this._liveness.recordAnswer()
     const { orders, models, coming, startedAt } = report.value
     const incarnation = compareStartTimes(startedAt, this._startedAt)
     if (incarnation === 'later') return this.restart(startedAt, this._control)
@@ -360,7 +360,7 @@
     const answer = await (action.kind === 'load' ? control.load(action.target, order) : control.unload(action.target, order))
     // The answer belongs to an earlier incarnation of the engine.
     if (plan !== this._plan) return
-    if (answer.isOk()) this._liveness.heard()
+    if (answer.isOk()) this._liveness.recordAnswer()
     const outcome = answer.isOk() ? answer.value : undefined
     plan.recordOrderOutcome(action, outcome, clock.now())
     const { model, adapter, version } = action.target
--- a/packages/direct/src/lib/liveness-probe.ts
+++ b/packages/direct/src/lib/liveness-probe.ts
@@ -54,7 +54,7 @@
   }
 
   /** Records an answer of the engine. */
-  heard (): void {
+  recordAnswer (): void {
     if (this.silent) this._options.log.info('loads', 'engine answers again.', { upstream: this._options.upstream, after: Math.round(this._options.clock.now() - this._answeredAt) })
     this._answeredAt = this._options.clock.now()
     this._missed = 0
@@ -73,7 +73,7 @@
   }
 
   private async _probe (): Promise<void> {
-    if (await this._options.probe()) return this.heard()
+    if (await this._options.probe()) return this.recordAnswer()
     this._recordMiss()
     if (!this.silent && !this._stopped) await this._probe()
   }
--- a/packages/direct/src/lib/notice-coordinator.ts
+++ b/packages/direct/src/lib/notice-coordinator.ts
@@ -97,17 +97,17 @@
    */
   applyNotice (upstream: Upstream, notice: UpstreamNotice, took: Ms): void {
     const now = this._options.clock.now()
-    for (const change of upstream.notices.note(notice, now - took, now)) this._handleChange(upstream, change, 'its answer')
+    for (const change of upstream.notices.applyNotice(notice, now - took, now)) this._handleChange(upstream, change, 'its answer')
   }
 
   /** Handles another entry's report of its usage and of upstreams' notices. */
   report ({ notices, ...report }: LimitReport): LimitReply {
-    this.heard({ notices })
+    this.applyNotices({ notices })
     return { grants: this._limits.report(report), notices: this._noticeRows() }
   }
 
   /** Applies upstreams' notices that another entry received. */
-  heard ({ notices }: NoticeMessage): void {
+  applyNotices ({ notices }: NoticeMessage): void {
     const now = this._options.clock.now()
     for (const { upstream: id, startedAt, leaving, limit } of notices) {
       const upstream = this._options.upstreams.get(id)
@@ -120,7 +120,7 @@
   }
 
   private _applyReply ({ grants, notices }: LimitReply): readonly UsageGrant[] {
-    this.heard({ notices })
+    this.applyNotices({ notices })
     return grants
   }
 
--- a/packages/direct/src/lib/peer-table.ts
+++ b/packages/direct/src/lib/peer-table.ts
@@ -94,7 +94,7 @@
 
   get holders (): readonly HolderListing[] { return [...this._holders].map(([upstream, record]) => ({ ...record, upstream })) }
 
-  heldUpstreams (): readonly string[] { return [...this._holders.keys()] }
+  upstreamsWithHolder (): readonly string[] { return [...this._holders.keys()] }
 
   reset (items: readonly StoreItem[]): void {
     this._clearEntries()
--- a/packages/direct/src/lib/quarantine-coordinator.ts
+++ b/packages/direct/src/lib/quarantine-coordinator.ts
@@ -26,7 +26,7 @@
   readonly entries: () => readonly PeerAddress[]
   readonly probe: (upstream: Upstream) => Promise<ProbeOutcome>
   /** Called when a request becomes quarantined. */
-  readonly held: (request: string) => void
+  readonly quarantined: (request: string) => void
   /** Random numbers from 0 to below 1. */
   readonly random?: () => number
 }
@@ -73,13 +73,13 @@
   constructor (private readonly _options: QuarantineCoordinatorOptions) {
     const { clock, log, probe, limits } = _options
     this._quarantine = new RequestQuarantine(limits)
-    this._detector = new TerminationDetector({ clock, log, probe, ended: (upstream, lost) => this._handleTermination(upstream, lost) })
+    this._detector = new TerminationDetector({ clock, log, probe, terminated: (upstream, lost) => this._handleTermination(upstream, lost) })
   }
 
   get holdTime (): Ms { return this._quarantine.holdTime }
 
   /** Requests that are quarantined now. */
-  get held (): readonly string[] { return [...this._quarantine.held(this._now).keys()] }
+  get quarantinedRequests (): readonly string[] { return [...this._quarantine.quarantinedRequests(this._now).keys()] }
 
   limit (limits: QuarantineLimits): void { this._quarantine.limit(limits) }
 
@@ -89,10 +89,10 @@
   }
 
   /** Records a request whose answer was lost at an upstream; `broke`: its connection has ended. */
-  lost (upstream: Upstream, request: string, broke: boolean): void { this._detector.lost(upstream, request, broke) }
+  recordLostAnswer (upstream: Upstream, request: string, broke: boolean): void { this._detector.recordLostAnswer(upstream, request, broke) }
 
   /** Records a request that was answered completely. */
-  answered (request: string): void { this._quarantine.recordAnswered(request, this._now) }
+  recordAnswered (request: string): void { this._quarantine.recordAnswered(request, this._now) }
 
   /** The record of an upstream was removed, or now has a later start time. */
   recordGone (upstream: Upstream): void { this._detector.recordGone(upstream) }
@@ -102,8 +102,8 @@
    *
    * @param request - computes its fingerprint, which takes 5 to 20 µs; called only if any request is quarantined
    */
-  holds (request: () => string): boolean {
-    return this._quarantine.held(this._now).size > 0 && this._quarantine.holds(request(), this._now)
+  isQuarantined (request: () => string): boolean {
+    return this._quarantine.quarantinedRequests(this._now).size > 0 && this._quarantine.isQuarantined(request(), this._now)
   }
 
   /** Counts terminations that another entry reports. */
@@ -122,7 +122,7 @@
   }
 
   /** A key below {@link quarantinePrefix} is in the store. */
-  stored (key: string): void {
+  receiveStoredKey (key: string): void {
     const request = key.slice(quarantinePrefix.length)
     this._storedAt.set(request, this._now)
     this._quarantineRequest(request)
@@ -195,18 +195,18 @@
       return []
     })))
     if (answers.flat().includes(request)) return this._quarantine.recordAnswered(request, this._now)
-    if (!this._quarantine.hold(request, this._now)) return
+    if (!this._quarantine.quarantine(request, this._now)) return
     log.warn('request', 'quarantined, upstreams terminated while running it.', { fingerprint: request, upstreams: this._quarantine.terminatedUpstreams(request), holdTime: this._quarantine.holdTime })
-    this._options.held(request)
+    this._options.quarantined(request)
     for (const peer of this._peers) this._send(peer, () => this._options.client.notifyQuarantined(peer, { requests: [request] }))
     this._store(request)
     this._checkLater()
   }
 
   private _quarantineRequest (request: string): void {
-    if (!this._quarantine.hold(request, this._now)) return
+    if (!this._quarantine.quarantine(request, this._now)) return
     this._options.log.info('request', 'quarantined, as decided by another entry.', { fingerprint: request })
-    this._options.held(request)
+    this._options.quarantined(request)
     this._checkLater()
   }
 
@@ -220,7 +220,7 @@
 
   /** Writes the quarantined requests whose keys were not written since the quarantine began. */
   private _check (): void {
-    const held = this._quarantine.held(this._now)
+    const held = this._quarantine.quarantinedRequests(this._now)
     for (const request of this._storedAt.keys()) if (!held.has(request)) this._storedAt.delete(request)
     for (const [request, until] of held) {
       const quarantinedSince = until - this.holdTime
--- a/packages/direct/src/lib/relay-runner.ts
+++ b/packages/direct/src/lib/relay-runner.ts
@@ -49,8 +49,8 @@
   updateRetryLimits (limits: SharedBudgetLimits): void { for (const budget of this._budgets.values()) budget.limit(limits) }
 
   /** Ends the open requests with a fingerprint that was just quarantined. */
-  hold (fingerprint: string): void {
-    for (const task of [...this._open]) if (task.fingerprint === fingerprint) task.hold()
+  endQuarantined (fingerprint: string): void {
+    for (const task of [...this._open]) if (task.fingerprint === fingerprint) task.endQuarantined()
   }
 
   private _requestedAdapter (table: RouteTable, service: string, model: string | undefined, adapter: string | undefined): RequestedAdapter | undefined {
@@ -67,7 +67,7 @@
     const requestedAdapter = (): RequestedAdapter | undefined => this._requestedAdapter(table, service, model, adapter)
     const want = requestedAdapter()
     const budget = this._budgetOf(service)
-    budget.request(clock.now())
+    budget.recordRequest(clock.now())
     placer.count(service, want)
     metrics.open.inc()
     log.info('request', 'taken.', { request: id, route: route.name, service, kind: route.kind, organisation: call.organisation, patience, want, config: table.version })
@@ -79,18 +79,18 @@
       place: query => placer.place(query),
       takeRepeat: () => this._takeRepeat(budget, id),
       isAllowed,
-      isQuarantined: fingerprint => quarantine.holds(fingerprint),
-      answerLost: (upstream, fingerprint, broke) => quarantine.lost(upstream, fingerprint, broke),
+      isQuarantined: fingerprint => quarantine.isQuarantined(fingerprint),
+      answerLost: (upstream, fingerprint, broke) => quarantine.recordLostAnswer(upstream, fingerprint, broke),
       noticed: (upstream, notice, took) => notices.applyNotice(upstream, notice, took),
       retryAfter: failure => this._retryAfter(failure),
-      adapterBroken: (upstream, broken) => directory.broken(upstream, broken),
+      adapterBroken: (upstream, broken) => directory.removeReservation(upstream, broken),
       exchanged: (upstream, outcome, latency, serviceTime) => {
         if (outcome === 'answered') placer.recordServiceTime(service, serviceTime)
         this._recordExchange(upstream, outcome, latency, route)
       },
       over: ({ end, sends, firstData, longestGap, notRun }) => {
         const took = clock.now() - call.arrivedAt
-        if (end === 'delivered') quarantine.answered(task.fingerprint)
+        if (end === 'delivered') quarantine.recordAnswered(task.fingerprint)
         if (notRun) refund()
         this._open.delete(task)
         metrics.open.dec()
@@ -114,7 +114,7 @@
   }
 
   private _takeRepeat (budget: SharedRetryBudget, request: string): boolean {
-    const allowed = budget.takeRepeat(this._options.clock.now(), this._options.entries())
+    const allowed = budget.takeRetry(this._options.clock.now(), this._options.entries())
     this._options.metrics.repeats.inc({ allowed: String(allowed) })
     if (!allowed) this._options.log.info('request', 'retry budget spent.', { request, entries: this._options.entries() })
     return allowed
@@ -130,7 +130,7 @@
     const { clock, log, metrics } = this._options
     metrics.sends.inc({ outcome })
     if (latency !== undefined) metrics.firstByte.observe({ kind: route.kind }, latency)
-    if (!upstream.health.note(outcome, clock.now(), latency)) return
+    if (!upstream.health.recordOutcome(outcome, clock.now(), latency)) return
     log.info('membership', 'upstream ejected.', { upstream: upstream.id, outcome, failureShare: upstream.health.failureShare })
   }
 }
--- a/packages/direct/src/lib/relay-task.ts
+++ b/packages/direct/src/lib/relay-task.ts
@@ -148,14 +148,14 @@
   start (): void {
     const { clock, isQuarantined, isAllowed, takeRepeat } = this._options
     this._cancelTimeout = clock.after(this._deadline + timeoutMargin - clock.now(), () => this._post({ kind: 'timeout' }))
-    this._task = new Task(relayFlow(this._route, { takeRepeat, isAllowed, isQuarantined: () => isQuarantined(() => this.fingerprint) }), effect => this._perform(effect))
+    this._task = new Task(relayFlow(this._route, { takeRetry: takeRepeat, isAllowed, isQuarantined: () => isQuarantined(() => this.fingerprint) }), effect => this._perform(effect))
   }
 
   /** Identity of the request, equal for each attempt at it. */
   get fingerprint (): string { return (this._fingerprint ??= requestFingerprint({ ...this._call, ...this._call.facts })) }
 
   /** Ends the request because it is quarantined from now on. */
-  hold (): void { this._post({ kind: 'held' }) }
+  endQuarantined (): void { this._post({ kind: 'held' }) }
 
   /** Handles that the caller has closed its connection. */
   callerGone (): void { this._post({ kind: 'caller-gone' }) }
--- a/packages/direct/src/lib/store-follower.ts
+++ b/packages/direct/src/lib/store-follower.ts
@@ -30,7 +30,7 @@
 /** Changes received from a watcher. */
 export interface FollowedChanges extends FeedChanges {
   /** When the poll was sent. */
-  readonly asked: Instant
+  readonly polledAt: Instant
 }
 
 /** Follows watchers while this entry does not watch the store itself. */
@@ -67,7 +67,7 @@
     if (answer === undefined) return undefined
     if (answer.kind === 'not-kept') return this._skip(peer, 'changes not kept')
     // A watcher that is cut off from the store answers as before; only the age of its view shows it.
-    return answer.age > bound() ? this._skip(peer, `view is ${answer.age} ms old`) : { ...answer, asked }
+    return answer.age > bound() ? this._skip(peer, `view is ${answer.age} ms old`) : { ...answer, polledAt: asked }
   }
 
   private _skip (peer: PeerAddress, cause: string): undefined {
--- a/packages/direct/src/lib/store-mirror.ts
+++ b/packages/direct/src/lib/store-mirror.ts
@@ -146,7 +146,7 @@
     const changes = await this._options.follow(this._revision)
     if (changes === undefined || this._isRelistDue) return undefined
     this._applyChanges(changes)
-    this._recordVerified(changes.asked, changes.viewAge)
+    this._recordVerified(changes.polledAt, changes.viewAge)
     this._recordAnswer(this._options.clock.now() - changes.age)
     return 'followed'
   }
@@ -186,7 +186,7 @@
   private get _instant (): Instant { return instantOf(this._options.clock) }
 
   /** Records that the view contains all changes up to an answer; `asked`: when its call was sent. */
-  private _recordVerified (asked: Instant, age: Ms): void { this._options.viewAge.answered(asked, age, this._instant) }
+  private _recordVerified (asked: Instant, age: Ms): void { this._options.viewAge.recordAnswer(asked, age, this._instant) }
 
   private _recordAnswer (at: Ms): void {
     this._failures = 0
--- a/packages/direct/src/lib/store-view.ts
+++ b/packages/direct/src/lib/store-view.ts
@@ -104,7 +104,7 @@
     const listing = await store.list(layout.config)
     if (listing.isErr()) return
     this.config.reset(listing.value.items)
-    this._viewAge.answered(asked, 0, this._instant)
+    this._viewAge.recordAnswer(asked, 0, this._instant)
   }
 
   private async _queryPeer (peer: PeerAddress): Promise<void> {
@@ -113,7 +113,7 @@
     const answer = await client.configAge(peer)
     if (answer === undefined) return
     // The peer's complete state has hundreds of routes, so it is requested only when the version is newer.
-    if (answer.version === this.config.table?.version) this._viewAge.answered(asked, answer.viewAge, this._instant)
+    if (answer.version === this.config.table?.version) this._viewAge.recordAnswer(asked, answer.viewAge, this._instant)
     else if (answer.version > (this.config.table?.version ?? 0)) this._applyConfig(await client.state(peer), asked)
   }
 
@@ -246,7 +246,7 @@
     // were applied, anyone would be admitted.
     if (config.access !== undefined) {
       this.config.applyIfNewer(config)
-      this._viewAge.answered(asked, viewAge ?? Infinity, this._instant)
+      this._viewAge.recordAnswer(asked, viewAge ?? Infinity, this._instant)
     }
     for (const version of versions) this.config.declare(version)
   }
--- a/packages/direct/src/lib/termination-detector.ts
+++ b/packages/direct/src/lib/termination-detector.ts
@@ -20,7 +20,7 @@
   /** Probes whether a process listens at an upstream's address. */
   readonly probe: (upstream: Upstream) => Promise<ProbeOutcome>
   /** Called when an upstream has terminated; `lost`: the requests that may have been the cause. */
-  readonly ended: (upstream: Upstream, lost: readonly InterruptedRequest[]) => void
+  readonly terminated: (upstream: Upstream, lost: readonly InterruptedRequest[]) => void
 }
 
 /** How it was detected that an upstream has terminated. */
@@ -58,7 +58,7 @@
    * @param broke - whether the request's connection has ended. An upstream that is merely silent is not probed: streams
    *   stall at full engines all the time, and a probe's connection occupies a batch slot of the engine for a moment
    */
-  lost (upstream: Upstream, request: string, broke: boolean): void {
+  recordLostAnswer (upstream: Upstream, request: string, broke: boolean): void {
     // An upstream that leaves terminates by itself, so the requests that it still runs are not suspect.
     if (upstream.record.state === 'draining') return
     const suspicion = this._suspicions.get(upstream) ?? this._suspect(upstream)
@@ -94,6 +94,6 @@
     suspicion.forget()
     const lost = [...suspicion.lost].map(([request, at]) => ({ request, at }))
     this._options.log.info('membership', 'upstream terminated.', { upstream: upstream.id, startedAt: upstream.record.startedAt, evidence, lostAnswers: lost.length })
-    this._options.ended(upstream, lost)
+    this._options.terminated(upstream, lost)
   }
 }
--- a/packages/direct/src/test/batch-slots.steps.ts
+++ b/packages/direct/src/test/batch-slots.steps.ts
@@ -28,7 +28,7 @@
       const before = open.get(entry) ?? 0
       open.set(entry, begins ? before + 1 : Math.max(0, before - 1))
       if (begins) batchSlots.admit(entry, at)
-      else batchSlots.note(entry, open.get(entry)!, at)
+      else batchSlots.recordReport(entry, open.get(entry)!, at)
       const all = [...open.values()].reduce((sum, each) => sum + each, 0)
       assert.equal(batchSlots.running(at), all)
       assert.equal(batchSlots.free(at), Math.max(0, 12 - all))
@@ -38,7 +38,7 @@
 
 Then('the requests of a lost entry no longer count after {int} s', (seconds: number) => {
   const batchSlots = new BatchSlots(12)
-  batchSlots.note('lost', 7, 0)
+  batchSlots.recordReport('lost', 7, 0)
   assert.equal(batchSlots.running(seconds * 1_000 - 1), 7)
   assert.equal(batchSlots.running(seconds * 1_000), 0)
 })
--- a/packages/direct/src/test/peers.steps.ts
+++ b/packages/direct/src/test/peers.steps.ts
@@ -116,7 +116,7 @@
   let retries = 0
   for (const { entryCount } of this.tables) {
     const budget = new SharedRetryBudget({ ratio: 0, slack, window: seconds * 1_000 })
-    while (budget.takeRepeat(this.clock.now(), entryCount)) retries++
+    while (budget.takeRetry(this.clock.now(), entryCount)) retries++
   }
   assert.ok(retries > 0 && retries <= slack, `${retries} retries`)
 })
--- a/packages/direct/src/test/support/batch-slot-simulation.ts
+++ b/packages/direct/src/test/support/batch-slot-simulation.ts
@@ -94,7 +94,7 @@
   private _endStream (engine: Engine, entry: string): void {
     const own = this._ownStreams[Number(entry)]!
     own.set(engine.id, (own.get(engine.id) ?? 1) - 1)
-    engine.batchSlots.note(entry, own.get(engine.id)!, this._now)
+    engine.batchSlots.recordReport(entry, own.get(engine.id)!, this._now)
   }
 
   private _arriveStream (): void {
--- a/packages/entry/src/lib/entry.ts
+++ b/packages/entry/src/lib/entry.ts
@@ -85,7 +85,7 @@
         name: view.name,
         service: view.service,
         zone: view.zone,
-        state: view.barred ? 'barred' : view.state,
+        state: view.excluded ? 'barred' : view.state,
         load: view.load
       }))
     }
@@ -159,7 +159,7 @@
       }, this.directory.views(call.service.name), weights, clock.now(), Math.random)?.name,
       dispatch: (upstream, receiver) => {
         const view = this.directory.view(upstream)!
-        view.sent(adapter)
+        view.recordSent(adapter)
         const channel = this.directory.channel(upstream)
         if (channel === undefined) return this._failUnsent(receiver)
         return channel.send({
@@ -179,7 +179,7 @@
           head: head => receiver.head(head),
           chunk: data => receiver.chunk(data),
           end: end => {
-            view.ended(end.failure !== undefined && end.verdict === 'may-have-run', clock.now())
+            view.recordEnd(end.failure !== undefined && end.verdict === 'may-have-run', clock.now())
             receiver.end(end)
           }
         })
@@ -202,13 +202,13 @@
   private _recordTermination (request: string, upstream: string, age: Ms): void {
     const { clock, log } = this.options
     const now = clock.now()
-    if (!this._quarantine.recordTermination(request, { upstream, at: now - age }, now) || !this._quarantine.hold(request, now)) return
+    if (!this._quarantine.recordTermination(request, { upstream, at: now - age }, now) || !this._quarantine.quarantine(request, now)) return
     log.warn('entry', 'request quarantined, engines terminated while running it.', { digest: request, upstreams: this._quarantine.terminatedUpstreams(request) })
   }
 
   private _quarantineFailure (request: string): Failure | undefined {
     const { holdTime } = quarantineLimits
-    if (!this._quarantine.holds(request, this.options.clock.now())) return undefined
+    if (!this._quarantine.isQuarantined(request, this.options.clock.now())) return undefined
     return failure('not-run', 'quarantined', 'Engines terminated while running this request, so it is quarantined for ten minutes.', holdTime)
   }
 
--- a/packages/entry/src/lib/upstream-directory.ts
+++ b/packages/entry/src/lib/upstream-directory.ts
@@ -107,7 +107,7 @@
 
   private _updateBarred (view: UpstreamView, leaving: boolean): void {
     const drained = this._config.config?.upstreams.get(view.name)?.drained === true
-    view.barred = leaving || drained
+    view.excluded = leaving || drained
   }
 
   private _dial (host: Host): void {
--- a/packages/sidecar/src/lib/claims.ts
+++ b/packages/sidecar/src/lib/claims.ts
@@ -7,7 +7,7 @@
 import { type KvClient, type KvRead, casWithReadBack } from '@hazelford/consul'
 
 /** An answer stored for repeats of its call. */
-export interface KeptAnswer {
+export interface StoredAnswer {
   readonly status: number
   readonly headers: readonly AnswerHeader[]
   /** Base64; undefined when the body was too large to store. */
@@ -24,16 +24,16 @@
   /** Digest of method, path and body, so that a key can't be reused for a different call. */
   readonly digest: string
   readonly at: Ms
-  readonly answer?: KeptAnswer
+  readonly answer?: StoredAnswer
 }
 
 /** Outcome of a claim. */
 export type ClaimOutcome =
   /** This sidecar holds the key: the call may run, once. */
   | { readonly kind: 'taken', readonly claim: Claim }
-  | { readonly kind: 'answered', readonly answer: KeptAnswer }
+  | { readonly kind: 'answered', readonly answer: StoredAnswer }
   /** The first attempt is running at this sidecar; `answer` resolves when it ends. */
-  | { readonly kind: 'running-here', readonly answer: Promise<KeptAnswer | undefined> }
+  | { readonly kind: 'running-here', readonly answer: Promise<StoredAnswer | undefined> }
   | { readonly kind: 'running-elsewhere', readonly sidecar: string }
   /** The first attempt began and its outcome is unknown. */
   | { readonly kind: 'outcome-unknown' }
@@ -62,8 +62,8 @@
 interface LocalClaim {
   readonly token: string
   readonly digest: string
-  readonly answered: Promise<KeptAnswer | undefined>
-  readonly settle: (answer: KeptAnswer | undefined) => void
+  readonly answered: Promise<StoredAnswer | undefined>
+  readonly settle: (answer: StoredAnswer | undefined) => void
 }
 
 const keepInMemoryMs: Ms = 10 * 60_000
@@ -81,14 +81,14 @@
  * @param headers - headers as forwarded to the caller
  * @param chunks - the body
  */
-export function keepAnswer (status: number, headers: readonly AnswerHeader[], chunks: readonly Uint8Array[]): KeptAnswer {
+export function createStoredAnswer (status: number, headers: readonly AnswerHeader[], chunks: readonly Uint8Array[]): StoredAnswer {
   const body = Buffer.concat(chunks)
   return { status, headers, body: body.length > keptBodyLimit ? undefined : body.toString('base64') }
 }
 
 function createLocalClaim (token: string, digest: string): LocalClaim {
   let settle: LocalClaim['settle'] = () => {}
-  const answered = new Promise<KeptAnswer | undefined>(resolve => { settle = resolve })
+  const answered = new Promise<StoredAnswer | undefined>(resolve => { settle = resolve })
   return { token, digest, answered, settle }
 }
 
@@ -159,7 +159,7 @@
    * @param answer - answer of the first attempt
    * @returns resolves when the answer is recorded, or after 300 ms when the key-value service does not answer
    */
-  async settle (claim: Claim, answer: KeptAnswer): Promise<void> {
+  async settle (claim: Claim, answer: StoredAnswer): Promise<void> {
     const { clock } = this._options
     const localClaim = this._localClaims.get(claim.key)
     localClaim?.settle(answer)
@@ -200,7 +200,7 @@
   private _tokenOf (value: string): string { return (JSON.parse(value) as ClaimRecord).token }
 
   /** Adds the answer to this sidecar's record and retries until that succeeds. */
-  private async _addAnswer (path: string, token: string, answer: KeptAnswer): Promise<void> {
+  private async _addAnswer (path: string, token: string, answer: StoredAnswer): Promise<void> {
     const { kv } = this._options
     await this._retryUntilDone(async () => {
       const read = await kv.read(path)
--- a/packages/sidecar/src/lib/load-permits.ts
+++ b/packages/sidecar/src/lib/load-permits.ts
@@ -196,13 +196,13 @@
     const throttle = this._ownThrottle()
     const wait = throttle.delay(clock.now())
     if (wait > 0) await sleep(clock, wait)
-    throttle.started(clock.now())
+    throttle.recordStart(clock.now())
     return { giveBack: (took, loaded) => this._recordLoad(took, loaded) }
   }
 
   /** Also records loads under permits, so that the throttle starts an outage with measured durations. */
   private _recordLoad (took: Ms | undefined, loaded = true): void {
-    if (took !== undefined) this._ownThrottle().ended(took, loaded)
+    if (took !== undefined) this._ownThrottle().recordEnd(took, loaded)
   }
 
   private _ownThrottle (): LoadThrottle {
--- a/packages/sidecar/src/lib/upstream-runner.ts
+++ b/packages/sidecar/src/lib/upstream-runner.ts
@@ -3,7 +3,7 @@
  */
 import { adapterKey, callDigest, classRank, type EventRing, failure, type Failure, parseTrafficClass } from '@hazelford/core'
 import type { AnswerHeader, AnswerSink, PlainClient, EngineClient } from '@hazelford/engine'
-import { type Claim, type Claims, keepAnswer, type KeptAnswer } from './claims.js'
+import { type Claim, type Claims, createStoredAnswer, type StoredAnswer } from './claims.js'
 import type { AdapterSlots } from './adapter-slots.js'
 import type { RequestRun } from './request-run.js'
 
@@ -110,7 +110,7 @@
   data = (data: Uint8Array): void => { this._chunks.push(data) }
 
   end = (): void => {
-    const answer = keepAnswer(this._status, this._headers, this._chunks)
+    const answer = createStoredAnswer(this._status, this._headers, this._chunks)
     // Recorded before the caller receives it: after a crash of this sidecar, a repeat through
     // another one must find the answer that the caller received.
     this._claims.settle(this._claim, answer).then(() => {
@@ -132,7 +132,7 @@
 }
 
 /** Answers a repeated call with the answer of the first attempt. */
-function replayAnswer (run: RequestRun, answer: KeptAnswer, events: RunnerEvents): void {
+function replayAnswer (run: RequestRun, answer: StoredAnswer, events: RunnerEvents): void {
   if (answer.body === undefined) {
     run.end(failure('may-have-run', 'first-attempt-unknown', 'The first attempt ran, but its answer was too large to store.'))
   } else {
--- a/packages/sidecar/src/test/claims.steps.ts
+++ b/packages/sidecar/src/test/claims.steps.ts
@@ -6,13 +6,13 @@
 import fc from 'fast-check'
 import { EventRing, FakeClock, HybridClock, silentLog } from '@hazelford/core'
 import type { KvClient } from '@hazelford/consul'
-import { type ClaimOutcome, Claims, keepAnswer } from '../lib/claims.js'
+import { type ClaimOutcome, Claims, createStoredAnswer } from '../lib/claims.js'
 import { FakeKv, type KvFault, flushMicrotasks } from './support/fake-kv.js'
 
 const clock = new FakeClock()
 const key = 'key-1'
 const digest = 'digest-of-call'
-const answer = keepAnswer(201, [{ name: 'x-booking', value: '7' }], [Buffer.from('booked')])
+const answer = createStoredAnswer(201, [{ name: 'x-booking', value: '7' }], [Buffer.from('booked')])
 const noFault = (): KvFault => 'none'
 
 function claimsOf (kv: KvClient, sidecar: string, incarnation = 'one'): Claims {
