--- a/packages/bench/src/lib/guards/entry-guards.ts
+++ b/packages/bench/src/lib/guards/entry-guards.ts
@@ -43,7 +43,7 @@
     find: 'goneAt > now && upstream.record.state === \'ready\'',
     replace: 'false',
     feature: 'platform/src/test/store.feature',
-    scenario: 'records that lapse'
+    scenario: 'records that expire'
   },
   {
     guarantee: 'direct configuration: an older version never replaces a newer one',
@@ -64,10 +64,10 @@
   {
     guarantee: 'adapters: an adapter reserved for a request stays loaded',
     file: 'packages/decisions/dist/lib/adapter-plan.js',
-    find: 'slot.promisedUntil <= now &&',
+    find: 'slot.reservedUntil <= now &&',
     replace: '',
     feature: 'packages/decisions/src/test/adapter-plan.feature',
-    scenario: 'a slot that a request was promised'
+    scenario: 'an adapter that is reserved for a request'
   },
   {
     guarantee: 'leaving upstreams: an upstream\'s own notice that it leaves is followed',
@@ -75,7 +75,7 @@
     find: 'this._options.leavingAnnounced(upstream);',
     replace: '',
     feature: 'platform/src/test/notices.feature',
-    scenario: 'servers that say in their answers that they leave'
+    scenario: 'servers that announce in their answers that they leave'
   },
   {
     guarantee: 'leaving upstreams: all entries are notified',
@@ -83,7 +83,7 @@
     find: 'if (source === \'its answer\')',
     replace: 'if (false)',
     feature: 'platform/src/test/notices.feature',
-    scenario: 'an entry that has not heard it'
+    scenario: 'entries that have not received the notice'
   },
   {
     guarantee: 'upstreams in backoff: they get no requests',
@@ -91,16 +91,16 @@
     find: 'upstream.notices.backoffUntil <= this._now &&',
     replace: '',
     feature: 'platform/src/test/notices.feature',
-    scenario: 'servers that turn an entry away'
+    scenario: 'servers that refuse an entry\'s requests'
   },
   {
     guarantee: 'upstreams in backoff: they get no load orders and no probes',
     file: 'packages/direct/dist/lib/engine-holder.js',
-    find: 'if (this._rest > 0) {',
+    find: 'if (this._backoff > 0) {',
     replace: 'if (false) {',
     also: { file: 'packages/direct/dist/lib/liveness-probe.js', find: 'if (!this._options.mayProbe())', replace: 'if (false)' },
     feature: 'platform/src/test/notices.feature',
-    scenario: 'servers that turn an entry away'
+    scenario: 'servers that refuse an entry\'s requests'
   },
   {
     guarantee: 'stopped entries: no peer is pinged any more',
@@ -108,7 +108,7 @@
     find: 'if (this._stopped)',
     replace: 'if (false)',
     feature: 'platform/src/test/ended-entries.feature',
-    scenario: 'an entry that suspected another one ends'
+    scenario: 'an entry that suspects another one terminates'
   },
   {
     guarantee: 'stopped entries: no load or unload order is sent any more',
@@ -116,7 +116,7 @@
     find: 'if (this._stopped)',
     replace: 'if (false)',
     feature: 'platform/src/test/ended-entries.feature',
-    scenario: 'an entry that orders engines is killed'
+    scenario: 'the holder of an engine is killed'
   },
   {
     guarantee: 'loads: the state of a load whose order got no answer is queried',
--- a/packages/bench/src/lib/guards/shared-guards.ts
+++ b/packages/bench/src/lib/guards/shared-guards.ts
@@ -10,7 +10,7 @@
     file: 'packages/direct/dist/lib/quarantine-coordinator.js',
     find: 'if (answers.flat().includes(request))',
     replace: 'if (false)',
-    also: { file: 'packages/decisions/dist/lib/request-quarantine.js', find: 'if (this.wasAnsweredRecently(request, now))\n            return false;\n        const isNew', replace: 'const isNew' },
+    also: { file: 'packages/decisions/dist/lib/request-quarantine.js', find: ' || this.wasAnsweredRecently(request, now))\n            return false;\n        this._quarantinedUntil.delete(', replace: ')\n            return false;\n        this._quarantinedUntil.delete(' },
     feature: 'platform/src/test/ending-requests.feature',
     scenario: 'a check that all callers send'
   },
@@ -21,7 +21,7 @@
     replace: 'if (false)',
     also: { file: 'packages/direct/dist/lib/termination-detector.js', find: 'if (upstream.record.state !== \'draining\')', replace: 'if (true)' },
     feature: 'platform/src/test/ending-requests.feature',
-    scenario: 'servers that leave end with what they still run'
+    scenario: 'servers that leave terminate while requests still run there'
   },
   {
     guarantee: 'quarantine: quarantined requests are recorded in the store',
@@ -29,7 +29,7 @@
     find: 'await store.commit(',
     replace: 'await (async () => ({ isErr: () => false, value: { kind: "lost" } }))(',
     feature: 'platform/src/test/ending-requests.feature',
-    scenario: 'an entry that has seen none of the ends'
+    scenario: 'an entry that has seen none of the terminations'
   },
   {
     guarantee: 'limits of upstreams: each send counts against the upstream\'s request limit',
@@ -37,7 +37,7 @@
     find: 'return this._limits.admit(upstream.id, 1);',
     replace: 'return { kind: \'admitted\', refund: () => { } };',
     feature: 'platform/src/test/notices.feature',
-    scenario: 'upstreams that name a request limit'
+    scenario: 'upstreams that announce a request limit'
   },
   {
     guarantee: 'limits of upstreams: the end of a limit reaches all entries',
@@ -45,7 +45,7 @@
     find: 'this._limits.size > 0 || this._options.clock.now() - this._endedAt < reportAfterEnd',
     replace: 'this._limits.size > 0',
     feature: 'platform/src/test/notices.feature',
-    scenario: 'a server names no limit any more, and the entry that counts'
+    scenario: 'servers withdraw their limits while the allocator gets no requests'
   },
   {
     guarantee: 'usage limits: entries that were listed recently are counted',
@@ -85,6 +85,6 @@
     find: 'if (!isLimited || ',
     replace: 'if (true || ',
     feature: 'platform/src/test/notices.feature',
-    scenario: 'a server at its limit, and one that failed lately'
+    scenario: 'a server at its limit, and one that failed recently'
   }
 ]
--- a/packages/bench/src/lib/guards/sidecar-guards.ts
+++ b/packages/bench/src/lib/guards/sidecar-guards.ts
@@ -75,7 +75,7 @@
     find: 'if (this._tombstones.delete(seq))',
     replace: 'if (false)',
     feature: 'packages/decisions/src/test/small-decisions.feature',
-    scenario: 'a request frame is taken once'
+    scenario: 'a request frame runs at most once'
   },
   {
     guarantee: 'at most once: retries depend on the verdict',
@@ -88,8 +88,8 @@
   {
     guarantee: 'at most once: a key is claimed only if absent',
     file: 'packages/sidecar/dist/lib/claims.js',
-    find: 'case \'conflict\':\n                return this._readOther(written.current, held.digest);',
-    replace: 'case \'conflict\':\n                return { kind: \'taken\', claim: { key, token: held.token } };',
+    find: 'case \'conflict\':\n                return this._evaluateExisting(written.current, localClaim.digest);',
+    replace: 'case \'conflict\':\n                return { kind: \'taken\', claim: { key, token: localClaim.token } };',
     feature: 'packages/sidecar/src/test/claims.feature',
     scenario: 'any interleaving of sidecars'
   },
