--- a/packages/config/src/lib/config-state.ts
+++ b/packages/config/src/lib/config-state.ts
@@ -2,7 +2,7 @@
  * The configuration in force in a process.
  */
 import type { ConfigDocument, EventRing, Log } from '@hazelford/core'
-import { RevisionHolder } from '@hazelford/decisions'
+import { LatestRevision } from '@hazelford/decisions'
 import { type Config, parseConfig } from './config.js'
 import { textDigest } from './document.js'
 
@@ -11,7 +11,7 @@
 
 /** Receives configuration documents from any source and puts the newest in force. */
 export class ConfigState {
-  private readonly _holder = new RevisionHolder()
+  private readonly _holder = new LatestRevision()
   private readonly _listeners: ConfigListener[] = []
   private _config: Config | undefined
 
@@ -36,7 +36,7 @@
     const parsed = parseConfig(doc.text)
     if (parsed.isErr()) {
       // A newer program version may have accepted a document that this version can't parse.
-      // Keeping the old configuration is safe; the status shows that the revision lags.
+      // Keeping the old configuration is safe; the status page shows that the revision lags.
       this._log.warn('config', 'revision not understood.', { revision: doc.revision, source, problems: parsed.error })
       return false
     }
--- a/packages/decisions/src/lib/adapter-plan.ts
+++ b/packages/decisions/src/lib/adapter-plan.ts
@@ -36,9 +36,7 @@
 export const readyReservation: Ms = 300
 /** Adapters that one engine may load at a time; with more, the engine fails. */
 const maxInTransit = 4
-/**
- * Pause before a report is asked for, so that it shows the effect of the last order: reports lag by some hundred ms.
- */
+/** Pause before the engine is asked for a report. Reports lag by some hundred ms, and a later one shows the last order's effect. */
 const reportLag: Ms = 250
 const conflictBackoff: Ms = 100
 /**
@@ -65,7 +63,7 @@
   /** When the load was ordered; without meaning for a slot that is loaded or unloading. */
   orderedAt: Ms
   readyAt: Ms
-  /** Whether the load took longer than expected. */
+  /** Whether the load has taken longer than expected. */
   isLate: boolean
   reservedUntil: Ms
 }
@@ -108,8 +106,8 @@
   get waiting (): number { return this._demand.size }
 
   /**
-   * Number of orders that the engine has counted. The next order names it, so that the engine refuses an order that is
-   * based on another view of it.
+   * Number of orders that the engine has counted. The next order names it, and the engine refuses an order that names
+   * another number: it is based on an outdated state of the engine.
    */
   get orders (): number { return this._orders }
 
@@ -118,8 +116,8 @@
   /**
    * Applies the engine's report of its loaded adapters.
    *
-   * @param report - the engine's answer to a question asked at `askedAt`
-   * @param askedAt - time
+   * @param report - the engine's report
+   * @param askedAt - time at which the engine was asked for it
    */
   applyReport (report: EngineReport, askedAt: Ms): void {
     this._unansweredOrder = undefined
@@ -146,9 +144,9 @@
     for (const { adapter, version } of adapters) {
       const key = slotKey(model, adapter)
       const before = previous.get(key)
-      const leaving = before?.state === 'unloading'
-      if (leaving) this._scheduleReport(askedAt + reportLag)
-      this._slots.set(key, { model, adapter, version, state: leaving ? 'unloading' : 'loaded', orderedAt: 0, readyAt: -Infinity, isLate: false, reservedUntil: before?.reservedUntil ?? 0 })
+      const isUnloading = before?.state === 'unloading'
+      if (isUnloading) this._scheduleReport(askedAt + reportLag)
+      this._slots.set(key, { model, adapter, version, state: isUnloading ? 'unloading' : 'loaded', orderedAt: 0, readyAt: -Infinity, isLate: false, reservedUntil: before?.reservedUntil ?? 0 })
       this._loadTimes.markRecent(key)
     }
   }
@@ -169,7 +167,7 @@
    * @param now - time
    */
   recordUse (entry: string, keys: Iterable<string>, now: Ms): void {
-    this._uses.note(entry, keys, now)
+    this._uses.recordReport(entry, keys, now)
   }
 
   /** Records a request that is about to use an adapter, until its entry's next report. */
@@ -247,7 +245,7 @@
     return slot.state === 'loaded'
   }
 
-  /** The engine lacks an adapter that the plan counts as loaded: its load is late, or the plan's view is wrong. */
+  /** The engine lacks an adapter that the plan counts as loaded: its load is late, or the plan's record of the engine is wrong. */
   private _invalidate (slot: Slot, now: Ms): void {
     slot.state = 'unknown'
     slot.orderedAt = now
@@ -265,7 +263,7 @@
   }
 
   /**
-   * Decides the next action. One order is in progress at any time.
+   * Decides the next action. At most one order is in progress at any time.
    *
    * @param now - time
    */
@@ -392,7 +390,7 @@
         this._handleNoAnswer(action, now)
         return
       case 'conflict':
-        // Reports lag; one that is asked for at once may not show the order that the engine has counted yet.
+        // Reports lag: one that is asked for at once might not yet include the order that the engine has counted.
         this._scheduleReport(now + conflictBackoff)
         return
       case 'refused':
@@ -408,8 +406,8 @@
    * Whether the engine counts an order that it has accepted.
    *
    * A load order that is sent again while the load is in progress is accepted once more, but changes nothing and is not
-   * counted by the engine. If it were counted here, the engine would refuse the next order as based on another view,
-   * and nothing could be loaded there until the engine has sent a report.
+   * counted by the engine. If it were counted here, the engine would refuse the next order, which would name a higher
+   * number, and nothing could be loaded there until the engine has sent a report.
    */
   private _isCounted (action: PlanAction & { readonly kind: 'load' | 'unload' }, outcome: 'accepted' | 'holds'): boolean {
     if (action.kind === 'unload') return true
@@ -421,8 +419,8 @@
   /**
    * Handles an order without an answer. The engine may have accepted it, or may carry it out seconds later.
    *
-   * The same order, sent again on the same view of the engine, settles both cases. If the first one was accepted, the
-   * engine has counted it and refuses the second. If not, the engine counts the second and refuses the first whenever
+   * The same order, sent again with the same number of counted orders, settles both cases. If the first one was accepted,
+   * the engine has counted it and refuses the second. If not, the engine counts the second and refuses the first whenever
    * it arrives. Until then a load counts as occupying its slot, since otherwise the plan could order one load too many.
    */
   private _handleNoAnswer (action: PlanAction & { readonly kind: 'load' | 'unload' }, now: Ms): void {
--- a/packages/decisions/src/lib/batch-slots.ts
+++ b/packages/decisions/src/lib/batch-slots.ts
@@ -5,8 +5,8 @@
 
 /**
  * Age at which an entry's report expires. The entry has stopped by then, and the engine has terminated its requests. A
- * running entry reports each end of a request within some 20 ms, and few streams run longer than this without the end
- * of another one.
+ * running entry reports each end of a request within some 20 ms, and few streams run for longer than 5 s without
+ * another request of the same entry ending.
  */
 const reportTtl: Ms = 5_000
 
@@ -17,7 +17,7 @@
  *
  * With many entries and many engines of few batch slots each, an entry sends a request to a given engine only once in
  * many seconds and does not know how full its batch is. Entries that guess leave requests waiting inside full engines
- * while other engines have free batch slots. The entry asks the engine's holder about each request anyhow, so the
+ * while other engines have free batch slots. An entry asks the engine's holder about each request in any case, so the
  * holder assigns the batch slots.
  */
 export class BatchSlots {
@@ -27,7 +27,7 @@
   constructor (private readonly _slots: number) {}
 
   /** Records an entry's number of open requests, which replaces its previous report. */
-  note (entry: string, requests: number, now: Ms): void { this._reports.set(entry, { requests, at: now }) }
+  recordReport (entry: string, requests: number, now: Ms): void { this._reports.set(entry, { requests, at: now }) }
 
   /** Counts an admitted request, until its entry's next report. */
   admit (entry: string, now: Ms): void {
--- a/packages/decisions/src/lib/relay-flow.ts
+++ b/packages/decisions/src/lib/relay-flow.ts
@@ -54,7 +54,7 @@
   /** Close the connection to the upstream, so that it stops working on the request. */
   | { readonly kind: 'abandon' }
   | { readonly kind: 'wait', readonly delay: Ms }
-  /** Keep the complete answer that has arrived: it is an error, and another upstream may give a better one. */
+  /** Keep the complete answer that has arrived: it is an error, and another upstream may send a better answer. */
   | { readonly kind: 'hold' }
   /** Pass the answer that has arrived to the caller. */
   | { readonly kind: 'deliver' }
@@ -73,10 +73,10 @@
   readonly maxAttempts: number
 }
 
-/** What the decisions ask the entry for. */
+/** Functions that the entry provides to the decisions. */
 export interface RelayDeps {
   /** Takes a retry from the service's budget; false when it is spent. */
-  readonly takeRepeat: () => boolean
+  readonly takeRetry: () => boolean
   /** Whether the caller may still send the request. */
   readonly isAllowed: () => boolean
   /** Whether the request is quarantined, because upstreams terminate while running it. */
@@ -102,6 +102,7 @@
   /** Upstreams that accepted no connection. */
   readonly unreachable = new Set<string>()
   sends = 0
+  /** Refusals for lack of the adapter. */
   missing = 0
   /** The upstream that has the request now. */
   current: string | undefined
@@ -161,7 +162,7 @@
 /** Moves the request from a silent upstream to one that can take it now. */
 function moveTo (upstream: string, progress: Progress, deps: RelayDeps): Transition {
   progress.stalled = false
-  if (!deps.takeRepeat()) return continueWith([])
+  if (!deps.takeRetry()) return continueWith([])
   progress.mayHaveRun = true
   progress.tried.add(upstream)
   progress.sends++
@@ -176,11 +177,12 @@
 
 function handlePlaced (upstream: string, request: RelayRequest, progress: Progress, deps: RelayDeps): Transition {
   if (progress.stalled) return moveTo(upstream, progress, deps)
-  // A request that has started to run is finished, also at another upstream.
+  // Access is checked before the first send only: a request that may have started to run is completed, also at another
+  // upstream.
   if (progress.sends === 0 && !deps.isAllowed()) return endWith(giveUp(progress, 'key-withdrawn'))
   if (progress.sends > 0) {
     if (!progress.tried.has(upstream) && progress.tried.size >= request.maxAttempts) return endWith(giveUp(progress, 'attempts-spent'))
-    if (!deps.takeRepeat()) return endWith(giveUp(progress, 'budget-spent'))
+    if (!deps.takeRetry()) return endWith(giveUp(progress, 'budget-spent'))
   }
   progress.tried.add(upstream)
   progress.sends++
@@ -272,7 +274,7 @@
       return continueWith([{ kind: 'deliver' }])
     case 'stream-ended': return endWith([{ kind: 'finish' }])
   }
-  // The exchange has ended; the upstream works on nothing of this request any more.
+  // The exchange has ended; the upstream no longer works on this request.
   const isPlacing = progress.stalled
   progress.stalled = false
   progress.current = undefined
--- a/packages/decisions/src/lib/shared-retry-budget.ts
+++ b/packages/decisions/src/lib/shared-retry-budget.ts
@@ -7,7 +7,7 @@
 export interface SharedBudgetLimits {
   /** Retries allowed for each request. */
   readonly ratio: number
-  /** Retries allowed on top in each window. */
+  /** Retries allowed in addition in each window. */
   readonly slack: number
   readonly window: Ms
 }
@@ -44,14 +44,14 @@
  */
 export class SharedRetryBudget {
   private readonly _requests = new EventWindow()
-  private readonly _repeats = new EventWindow()
+  private readonly _retries = new EventWindow()
 
   constructor (private _limits: SharedBudgetLimits) {}
 
   /** Changes the limit; retries that were taken stay counted. */
   limit (limits: SharedBudgetLimits): void { this._limits = limits }
 
-  request (now: Ms): void { this._requests.add(now) }
+  recordRequest (now: Ms): void { this._requests.add(now) }
 
   /**
    * Takes one retry from the budget.
@@ -60,11 +60,11 @@
    * @param entries - entries that share the slack, at least 1
    * @returns false when the budget is spent
    */
-  takeRepeat (now: Ms, entries: number): boolean {
+  takeRetry (now: Ms, entries: number): boolean {
     const { ratio, slack, window } = this._limits
     const allowed = usedShare * (ratio * this._requests.count(now, window) + slack / Math.max(1, entries))
-    if (this._repeats.count(now, window) + 1 > allowed) return false
-    this._repeats.add(now)
+    if (this._retries.count(now, window) + 1 > allowed) return false
+    this._retries.add(now)
     return true
   }
 }
--- a/packages/decisions/src/lib/usage-allocator.ts
+++ b/packages/decisions/src/lib/usage-allocator.ts
@@ -4,7 +4,7 @@
 import type { Ms } from '@hazelford/core'
 import type { UsageLimit } from '@hazelford/ports'
 
-/** Limit on the usage of an account: units per second, and units at once on top. */
+/** Limit on the usage of an account: units per second, and units that may be used at once in addition. */
 export type CreditLimit = Pick<UsageLimit, 'rate' | 'burst'>
 
 /** An entry's report on one account. Amounts are in the limit's unit. */
@@ -16,7 +16,7 @@
   readonly first: number
   /** What all waiting requests there need beyond the entry's credit. */
   readonly waiting: number
-  /** What the entry asks for on top, for the requests that it expects until its next report. */
+  /** What the entry asks for ahead of need, for the requests that it expects until its next report. */
   readonly ahead: number
   /** Credit that the entry returns; `holding` excludes it. */
   readonly returned: number
@@ -43,11 +43,11 @@
   readonly window: Ms
   /** Share of the window's usage by which the limit may be exceeded. */
   readonly overage: number
-  /** Units on top, in the limit's unit. */
+  /** Units by which the limit may be exceeded in addition, in the limit's unit. */
   readonly slack: number
 }
 
-/** What an allocator must know besides the report. */
+/** What an allocator needs besides the report. */
 export interface AllocatorContext {
   readonly bounds: UsageBounds
   readonly now: Ms
@@ -79,7 +79,7 @@
 const overageSpread = 0.25
 /** Least share of a limit's burst that can be used at once. */
 const minBurstShare = 0.5
-/** Age up to which an entry's report counts for what waits: each entry has reported again by then. */
+/** Age up to which the waiting requests in an entry's report are counted: each entry has reported again by then. */
 const waitingReportTtl: Ms = 500
 /**
  * Share of a bucket that is granted only to waiting requests. Granted ahead of need, it would lie unused at some
@@ -91,7 +91,7 @@
 
 interface EntryReport { readonly holding: number, readonly waiting: number, readonly at: Ms }
 
-/** Credit of one account. */
+/** Credit of one account that can be granted. */
 class Bucket {
   private readonly _reports = new Map<string, EntryReport>()
   private _level = 0
@@ -100,8 +100,8 @@
   private _covered: Ms = 0
 
   /**
-   * Adds the credit that has accrued, up to a cap that includes the credit at the entries: that is not used yet, and
-   * could be used in one moment together with the credit here.
+   * Adds the credit that has accrued, up to a cap that includes the credit that entries were granted and have not used:
+   * they could use it in one moment together with the credit in this bucket.
    *
    * @param covered - time that reports have covered
    * @param least - what one request needs: a request larger than the cap would never be admitted
@@ -144,9 +144,9 @@
   }
 
   /**
-   * Credit for an entry's waiting requests. While there is enough for all waiting requests, each entry gets what it
-   * needs. When there is not, each gets its share, and no less than its first request needs: in smaller pieces, credit
-   * would lie unused at each entry while none can admit a request.
+   * Credit for an entry's waiting requests. While the bucket covers the waiting requests of all entries, each entry gets
+   * what it needs. Otherwise each entry gets its share, and no less than its first request needs: in smaller pieces,
+   * credit would lie unused at each entry while none can admit a request.
    */
   private _forWaiting ({ first, waiting }: UsageRow, now: Ms): number {
     const all = this._waiting(now)
--- a/packages/decisions/src/test/small-decisions.steps.ts
+++ b/packages/decisions/src/test/small-decisions.steps.ts
@@ -10,7 +10,7 @@
 import { rendezvousOrder } from '../lib/rendezvous.js'
 import { RequestLedger } from '../lib/request-ledger.js'
 import { RetryBudget } from '../lib/retry-budget.js'
-import { RevisionHolder } from '../lib/revision-holder.js'
+import { LatestRevision } from '../lib/latest-revision.js'
 import { UpstreamView } from '../lib/upstream-view.js'
 import { propertyOptions } from './support/property-options.js'
 
@@ -18,23 +18,23 @@
   const frames = fc.array(fc.record({ withdraw: fc.boolean(), seq: fc.integer({ min: 1, max: 30 }) }), { maxLength: 100 })
   fc.assert(fc.property(frames, list => {
     const ledger = new RequestLedger()
-    const taken = new Set<number>()
+    const run = new Set<number>()
     const withdrawn = new Set<number>()
     for (const { withdraw, seq } of list) {
       if (withdraw) {
         if (ledger.recordWithdrawal(seq)) withdrawn.add(seq)
       } else if (ledger.register(seq) === 'new') {
-        assert.ok(!taken.has(seq), 'the frame ran twice')
+        assert.ok(!run.has(seq), 'the frame ran twice')
         assert.ok(!withdrawn.has(seq), 'the frame ran after its withdraw')
-        taken.add(seq)
+        run.add(seq)
       }
     }
   }), propertyOptions)
 })
 
-Then('for any order of documents the revision in effect is the highest offered so far', () => {
+Then('for any order of documents the revision in force is the highest offered so far', () => {
   fc.assert(fc.property(fc.array(fc.integer({ min: 1, max: 50 })), revisions => {
-    const holder = new RevisionHolder()
+    const holder = new LatestRevision()
     let highest = 0
     for (const revision of revisions) {
       holder.offer({ revision, writeId: '', author: '', at: 0, sha256: '', text: '' } satisfies ConfigDocument)
@@ -87,7 +87,7 @@
   const counts = new Map<string, number>()
   for (let i = 0; i < 100; i++) {
     const chosen = chooseUpstream({ adapter: 'x@1', zone: 'z', tried: new Set() }, views, weights, 0, () => (i * 0.37) % 1)!
-    chosen.sent('x@1')
+    chosen.recordSent('x@1')
     counts.set(chosen.name, (counts.get(chosen.name) ?? 0) + 1)
   }
   for (const { name } of views) assert.ok((counts.get(name) ?? 0) >= 15, `${name} got ${counts.get(name) ?? 0}`)
@@ -104,9 +104,9 @@
 })
 
 Then('a request goes to the sidecar with the adapter while it has room and elsewhere once its queue is long', () => {
-  const held = [{ adapter: 'x@1', state: 'loaded' as const, pins: 0 }]
+  const loaded = [{ adapter: 'x@1', state: 'loaded' as const, pins: 0 }]
   const choose = (queued: number): string | undefined => {
-    const views = [view('holder', { adapters: held, running: 4, queued }), view('other', {})]
+    const views = [view('holder', { adapters: loaded, running: 4, queued }), view('other', {})]
     return chooseUpstream({ adapter: 'x@1', zone: 'z', tried: new Set() }, views, weights, 0, () => 0)?.name
   }
   assert.equal(choose(0), 'holder')
--- a/packages/direct/src/lib/relay-runner.ts
+++ b/packages/direct/src/lib/relay-runner.ts
@@ -30,14 +30,17 @@
   readonly budgetLimits: () => SharedBudgetLimits
 }
 
-/** Retry-After: long enough for an ejection or a load to be over, short compared with any caller's longest wait. */
+/**
+ * Shortest Retry-After of a failed request: long enough for an ejection or a load to complete, short compared with any
+ * caller's longest wait.
+ */
 const retryAfterBase: Ms = 150
 const retryAfterSpread: Ms = 250
 
 /** Requests of one entry in progress. */
 export class RelayRunner {
   private readonly _budgets = new Map<string, SharedRetryBudget>()
-  /** Requests whose answer is not complete. */
+  /** Requests whose answers are not complete. */
   private readonly _open = new Set<RelayTask>()
 
   constructor (private readonly _options: RelayRunnerOptions) {}
@@ -46,8 +49,8 @@
   updateRetryLimits (limits: SharedBudgetLimits): void { for (const budget of this._budgets.values()) budget.limit(limits) }
 
   /** Ends the open requests with a fingerprint that was just quarantined. */
-  hold (fingerprint: string): void {
-    for (const task of [...this._open]) if (task.fingerprint === fingerprint) task.hold()
+  endQuarantined (fingerprint: string): void {
+    for (const task of [...this._open]) if (task.fingerprint === fingerprint) task.endQuarantined()
   }
 
   private _requestedAdapter (table: RouteTable, service: string, model: string | undefined, adapter: string | undefined): RequestedAdapter | undefined {
@@ -64,7 +67,7 @@
     const requestedAdapter = (): RequestedAdapter | undefined => this._requestedAdapter(table, service, model, adapter)
     const want = requestedAdapter()
     const budget = this._budgetOf(service)
-    budget.request(clock.now())
+    budget.recordRequest(clock.now())
     placer.count(service, want)
     metrics.open.inc()
     log.info('request', 'taken.', { request: id, route: route.name, service, kind: route.kind, organisation: call.organisation, patience, want, config: table.version })
@@ -76,18 +79,18 @@
       place: query => placer.place(query),
       takeRepeat: () => this._takeRepeat(budget, id),
       isAllowed,
-      isQuarantined: fingerprint => quarantine.holds(fingerprint),
-      answerLost: (upstream, fingerprint, broke) => quarantine.lost(upstream, fingerprint, broke),
+      isQuarantined: fingerprint => quarantine.isQuarantined(fingerprint),
+      answerLost: (upstream, fingerprint, broke) => quarantine.recordLostAnswer(upstream, fingerprint, broke),
       noticed: (upstream, notice, took) => notices.applyNotice(upstream, notice, took),
       retryAfter: failure => this._retryAfter(failure),
-      adapterBroken: (upstream, broken) => directory.broken(upstream, broken),
+      adapterBroken: (upstream, broken) => directory.removeReservation(upstream, broken),
       exchanged: (upstream, outcome, latency, serviceTime) => {
         if (outcome === 'answered') placer.recordServiceTime(service, serviceTime)
         this._recordExchange(upstream, outcome, latency, route)
       },
       over: ({ end, sends, firstData, longestGap, notRun }) => {
         const took = clock.now() - call.arrivedAt
-        if (end === 'delivered') quarantine.answered(task.fingerprint)
+        if (end === 'delivered') quarantine.recordAnswered(task.fingerprint)
         if (notRun) refund()
         this._open.delete(task)
         metrics.open.dec()
@@ -111,13 +114,13 @@
   }
 
   private _takeRepeat (budget: SharedRetryBudget, request: string): boolean {
-    const allowed = budget.takeRepeat(this._options.clock.now(), this._options.entries())
+    const allowed = budget.takeRetry(this._options.clock.now(), this._options.entries())
     this._options.metrics.repeats.inc({ allowed: String(allowed) })
     if (!allowed) this._options.log.info('request', 'retry budget spent.', { request, entries: this._options.entries() })
     return allowed
   }
 
-  /** Jittered, so that callers refused together don't return together. */
+  /** Retry-After of a failed request in ms; jittered, so that callers refused together don't return together. */
   private _retryAfter (failure: RelayFailure): Ms {
     if (failure === 'quarantined') return this._options.quarantine.holdTime
     return retryAfterBase + Math.random() * retryAfterSpread
@@ -127,7 +130,7 @@
     const { clock, log, metrics } = this._options
     metrics.sends.inc({ outcome })
     if (latency !== undefined) metrics.firstByte.observe({ kind: route.kind }, latency)
-    if (!upstream.health.note(outcome, clock.now(), latency)) return
+    if (!upstream.health.recordOutcome(outcome, clock.now(), latency)) return
     log.info('membership', 'upstream ejected.', { upstream: upstream.id, outcome, failureShare: upstream.health.failureShare })
   }
 }
--- a/packages/sidecar/src/lib/claims.ts
+++ b/packages/sidecar/src/lib/claims.ts
@@ -7,7 +7,7 @@
 import { type KvClient, type KvRead, casWithReadBack } from '@hazelford/consul'
 
 /** An answer stored for repeats of its call. */
-export interface KeptAnswer {
+export interface StoredAnswer {
   readonly status: number
   readonly headers: readonly AnswerHeader[]
   /** Base64; undefined when the body was too large to store. */
@@ -19,21 +19,21 @@
   /** Identifies the attempt that holds the key. */
   readonly token: string
   readonly sidecar: string
-  /** Incarnation of the sidecar that holds the key: after a restart it can't know which calls it had begun. */
+  /** Incarnation of the sidecar that holds the key: after a restart a sidecar can't know which calls it had begun. */
   readonly incarnation: string
   /** Digest of method, path and body, so that a key can't be reused for a different call. */
   readonly digest: string
   readonly at: Ms
-  readonly answer?: KeptAnswer
+  readonly answer?: StoredAnswer
 }
 
 /** Outcome of a claim. */
 export type ClaimOutcome =
   /** This sidecar holds the key: the call may run, once. */
   | { readonly kind: 'taken', readonly claim: Claim }
-  | { readonly kind: 'answered', readonly answer: KeptAnswer }
+  | { readonly kind: 'answered', readonly answer: StoredAnswer }
   /** The first attempt is running at this sidecar; `answer` resolves when it ends. */
-  | { readonly kind: 'running-here', readonly answer: Promise<KeptAnswer | undefined> }
+  | { readonly kind: 'running-here', readonly answer: Promise<StoredAnswer | undefined> }
   | { readonly kind: 'running-elsewhere', readonly sidecar: string }
   /** The first attempt began and its outcome is unknown. */
   | { readonly kind: 'outcome-unknown' }
@@ -62,8 +62,8 @@
 interface LocalClaim {
   readonly token: string
   readonly digest: string
-  readonly answered: Promise<KeptAnswer | undefined>
-  readonly settle: (answer: KeptAnswer | undefined) => void
+  readonly answered: Promise<StoredAnswer | undefined>
+  readonly settle: (answer: StoredAnswer | undefined) => void
 }
 
 const keepInMemoryMs: Ms = 10 * 60_000
@@ -71,7 +71,7 @@
 const recordWaitMs: Ms = 300
 const absencesToConfirm = 4
 const keptBodyLimit = 64 * 1024
-/** How long a claim of another sidecar counts as running before its outcome counts as unknown. */
+/** How long the call of another sidecar's claim counts as running before its outcome counts as unknown. */
 const runningElsewhereMs: Ms = 60_000
 
 /**
@@ -81,14 +81,14 @@
  * @param headers - headers as forwarded to the caller
  * @param chunks - the body
  */
-export function keepAnswer (status: number, headers: readonly AnswerHeader[], chunks: readonly Uint8Array[]): KeptAnswer {
+export function createStoredAnswer (status: number, headers: readonly AnswerHeader[], chunks: readonly Uint8Array[]): StoredAnswer {
   const body = Buffer.concat(chunks)
   return { status, headers, body: body.length > keptBodyLimit ? undefined : body.toString('base64') }
 }
 
 function createLocalClaim (token: string, digest: string): LocalClaim {
   let settle: LocalClaim['settle'] = () => {}
-  const answered = new Promise<KeptAnswer | undefined>(resolve => { settle = resolve })
+  const answered = new Promise<StoredAnswer | undefined>(resolve => { settle = resolve })
   return { token, digest, answered, settle }
 }
 
@@ -108,10 +108,10 @@
    * @param digest - digest of the call
    */
   async claim (key: string, digest: string): Promise<ClaimOutcome> {
-    const known = this._localClaims.get(key)
-    if (known !== undefined) {
-      if (known.digest !== digest) return { kind: 'other-call' }
-      return { kind: 'running-here', answer: known.answered }
+    const existing = this._localClaims.get(key)
+    if (existing !== undefined) {
+      if (existing.digest !== digest) return { kind: 'other-call' }
+      return { kind: 'running-here', answer: existing.answered }
     }
     const localClaim = createLocalClaim(newId('claim'), digest)
     this._localClaims.set(key, localClaim)
@@ -159,7 +159,7 @@
    * @param answer - answer of the first attempt
    * @returns resolves when the answer is recorded, or after 300 ms when the key-value service does not answer
    */
-  async settle (claim: Claim, answer: KeptAnswer): Promise<void> {
+  async settle (claim: Claim, answer: StoredAnswer): Promise<void> {
     const { clock } = this._options
     const localClaim = this._localClaims.get(claim.key)
     localClaim?.settle(answer)
@@ -200,7 +200,7 @@
   private _tokenOf (value: string): string { return (JSON.parse(value) as ClaimRecord).token }
 
   /** Adds the answer to this sidecar's record and retries until that succeeds. */
-  private async _addAnswer (path: string, token: string, answer: KeptAnswer): Promise<void> {
+  private async _addAnswer (path: string, token: string, answer: StoredAnswer): Promise<void> {
     const { kv } = this._options
     await this._retryUntilDone(async () => {
       const read = await kv.read(path)
